--- a/marigoldchute/routing/admission.py
+++ b/marigoldchute/routing/admission.py
@@ -1,4 +1,4 @@
-"""Admission to one backend server: its slots and the bounded queue before them."""
+"""Admission control for one backend server: slots and a bounded queue."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
 
 from marigoldchute.errors import NotRunError, ResultCode
 from marigoldchute.routing.limit import AdaptiveLimit
-from marigoldchute.routing.outcomes import LOAD_LEVELS
+from marigoldchute.routing.outcomes import NUM_LOAD_LEVELS
 
 if TYPE_CHECKING:
     from marigoldchute.membership.model import BackendServer
 
-PRIORITIES = 3
-QUEUE_PER_SLOT = 4
-QUEUE_SHARES = (1.0, 0.75, 0.5)  # By priority: the last class is shed first.
-RUN_TIME_WEIGHT = 0.1
-INITIAL_RUN_S = 0.002
-# Seven in eight runs take less than this many times the mean, at the spread of run
-# times that backend servers show.
-RUN_MARGIN = 1.6
+NUM_PRIORITIES = 3
+MAX_QUEUED_PER_SLOT = 4
+QUEUE_RATIOS = (1.0, 0.75, 0.5)  # By priority: the lowest class is shed first.
+RUN_TIME_EWMA_WEIGHT = 0.1
+INITIAL_RUN_TIME_S = 0.002
+# Seven in eight requests take less than this many times the mean run time, given how
+# the run times of backend servers vary.
+RUN_TIME_MARGIN = 1.6
 
 
 class _Waiter:
-    __slots__ = ("admitted", "event", "order", "refusal")
+    __slots__ = ("admitted", "event", "refusal", "sort_key")
 
-    def __init__(self, order: tuple[float, int]) -> None:
+    def __init__(self, sort_key: tuple[float, int]) -> None:
         self.event = trio.Event()
         self.admitted = False
         self.refusal: ResultCode | None = None
-        self.order = order
+        self.sort_key = sort_key
 
 
-def _order_of(waiter: _Waiter) -> tuple[float, int]:
-    return waiter.order
+def _sort_key_of(waiter: _Waiter) -> tuple[float, int]:
+    return waiter.sort_key
 
 
 class AdmissionGate:
-    """Slots of one backend server and the bounded queue before them.
+    """Slots of one backend server and the bounded queue of requests for them.
 
-    Who waits is admitted by class, within a class by the time at which its answer is
-    due, and in the order of arrival where no such time is stated.
+    Queued requests are admitted by priority class, within a class by the time of their
+    latency objective, and in the order of arrival if they have none.
 
     Parameters
     ----------
     server : BackendServer
-        Announced slots and connections.
+        Backend server as announced, with its slots and connections.
     adaptive : bool
-        Whether refusals and rising latencies lower the limit below the slots.
+        Whether refusals and rising latency lower the limit below the slots.
     """
 
     def __init__(self, server: BackendServer, adaptive: bool = True) -> None:
@@ -59,34 +59,38 @@
         self.draining = False
         self._adaptive = adaptive
         self._limit = AdaptiveLimit(server.slots)
-        self._queues: tuple[list[_Waiter], ...] = tuple([] for _ in range(PRIORITIES))
+        self._queues: tuple[list[_Waiter], ...] = tuple(
+            [] for _ in range(NUM_PRIORITIES)
+        )
         self._arrivals = itertools.count()
         self._queued = 0
-        self._run_s = INITIAL_RUN_S
+        self._mean_run_s = INITIAL_RUN_TIME_S
         self.update(server)
 
     @property
     def limit(self) -> int:
-        """Requests that may run at once now."""
+        """Number of requests that may currently run at once."""
         return min(self._limit.value, self._connections)
 
     @property
     def queued(self) -> int:
-        """Requests that wait."""
+        """Number of requests that wait for a slot."""
         return self._queued
 
     @property
     def load(self) -> int:
-        """Requests that run or wait."""
+        """Number of requests that run or wait."""
         return self.running + self._queued
 
     @property
     def load_level(self) -> int:
-        """Quarter of the slots in use, the request admitted last included."""
-        return min(LOAD_LEVELS - 1, LOAD_LEVELS * (self.running - 1) // self._slots)
+        """Quarter of the slots in use, including the last admitted request."""
+        return min(
+            NUM_LOAD_LEVELS - 1, NUM_LOAD_LEVELS * (self.running - 1) // self._slots
+        )
 
     def update(self, server: BackendServer) -> None:
-        """Take a new announcement."""
+        """Apply a new announcement of the backend server."""
         self._slots = server.slots
         self._connections = server.connections
         self._limit.set_slots(server.slots)
@@ -96,30 +100,30 @@
             self.draining = False
 
     def drain(self) -> None:
-        """Admit nothing more; refuse what waits, so that it runs elsewhere."""
+        """Refuse new and waiting requests, so that they are retried elsewhere."""
         self.draining = True
         for queue in self._queues:
             while queue:
                 self._refuse(queue.pop(0), ResultCode.REQUEST_NOT_RUN_DRAINING)
 
-    def try_enter(self) -> bool:
-        """Take a slot at once if one is free and nobody waits.
+    def try_acquire_slot(self) -> bool:
+        """Acquire a slot if one is free and no request waits; return whether it did.
 
         Raises
         ------
         NotRunError
-            The backend server drains.
+            The backend server is draining.
         """
         if self.draining:
             raise NotRunError(
-                "backend server drains", ResultCode.REQUEST_NOT_RUN_DRAINING
+                "backend server is draining", ResultCode.REQUEST_NOT_RUN_DRAINING
             )
         if self._queued or self.running >= self.limit:
             return False
-        self._take_slot()
+        self._occupy_slot()
         return True
 
-    async def enter(
+    async def acquire_slot(
         self, priority: int, remaining_s: float, objective_s: float = 0.0
     ) -> None:
         """Wait for a slot.
@@ -127,93 +131,103 @@
         Parameters
         ----------
         priority : int
-            Admission class, 0 is served first.
+            Priority class; 0 is admitted first.
         remaining_s : float
             Time left until the caller's deadline.
         objective_s : float
-            Time left in which an answer has its full worth; 0 when none is stated. A
-            request that is not expected to make it is refused at once.
+            Time left until the latency objective; 0 when there is none. A request that
+            is not expected to meet it is refused at once.
 
         Raises
         ------
         NotRunError
-            The queue is full, the time would pass, or the backend server drains.
+            The queue is full, the time would not suffice, or the backend server is
+            draining.
         """
-        priority = min(max(priority, 0), PRIORITIES - 1)
-        due = trio.current_time() + objective_s if objective_s else 0.0
-        waiter = _Waiter((due, next(self._arrivals)))
-        allowed_s = remaining_s - self._run_s
+        priority = min(max(priority, 0), NUM_PRIORITIES - 1)
+        due_at = trio.current_time() + objective_s if objective_s else 0.0
+        waiter = _Waiter((due_at, next(self._arrivals)))
+        max_wait_s = remaining_s - self._mean_run_s
         if objective_s:
-            allowed_s = min(allowed_s, objective_s - RUN_MARGIN * self._run_s)
-        self._check_wait(priority, waiter, allowed_s)
-        self._make_room(priority)
-        bisect.insort(self._queues[priority], waiter, key=_order_of)
+            max_wait_s = min(
+                max_wait_s, objective_s - RUN_TIME_MARGIN * self._mean_run_s
+            )
+        self._check_wait(priority, waiter, max_wait_s)
+        self._ensure_queue_space(priority)
+        bisect.insort(self._queues[priority], waiter, key=_sort_key_of)
         self._queued += 1
-        self._refuse_overtaken(trio.current_time())
+        self._refuse_late_waiters(trio.current_time())
         try:
-            with trio.move_on_after(max(0.0, remaining_s - self._run_s)):
+            with trio.move_on_after(max(0.0, remaining_s - self._mean_run_s)):
                 await waiter.event.wait()
         except BaseException:
-            self._give_up(waiter, priority)
+            self._abandon(waiter, priority)
             raise
         if waiter.admitted:
             return
         if waiter.refusal is None:
-            self._give_up(waiter, priority)
+            self._abandon(waiter, priority)
             waiter.refusal = ResultCode.REQUEST_NOT_RUN_DEADLINE
         raise NotRunError(
-            "refused while it waited for a slot", waiter.refusal, self._run_s
+            "refused while waiting for a slot", waiter.refusal, self._mean_run_s
         )
 
-    def leave(self) -> None:
-        """Give a slot back and admit who waits."""
+    def release_slot(self) -> None:
+        """Release a slot and admit waiting requests."""
         self.running -= 1
         self._admit_waiting()
 
-    def take_sample(self, run_s: float, running: int, now: float) -> None:
-        """Take the time that a whole answer took."""
-        self._run_s += RUN_TIME_WEIGHT * (run_s - self._run_s)
+    def record_sample(self, run_s: float, running: int, now: float) -> None:
+        """Record the run time of a complete response."""
+        self._mean_run_s += RUN_TIME_EWMA_WEIGHT * (run_s - self._mean_run_s)
         if self._adaptive:
-            self._limit.take_sample(run_s, running, now)
+            self._limit.record_sample(run_s, running, now)
 
-    def take_refusal(self, now: float) -> None:
-        """Take note that the backend server itself refused a request."""
+    def record_refusal(self, now: float) -> None:
+        """Record that the backend server itself refused a request."""
         if self._adaptive:
-            self._limit.take_refusal(now)
+            self._limit.record_refusal(now)
 
-    def _check_wait(self, priority: int, waiter: _Waiter, allowed_s: float) -> None:
+    def _check_wait(self, priority: int, waiter: _Waiter, max_wait_s: float) -> None:
         ahead = sum(len(queue) for queue in self._queues[:priority])
-        ahead += bisect.bisect(self._queues[priority], waiter.order, key=_order_of)
-        wait_s = (ahead + 1) * self._run_s / self.limit
-        if wait_s > allowed_s:
+        ahead += bisect.bisect(
+            self._queues[priority], waiter.sort_key, key=_sort_key_of
+        )
+        wait_s = (ahead + 1) * self._mean_run_s / self.limit
+        if wait_s > max_wait_s:
             raise NotRunError(
-                "no slot in time",
+                "no slot is expected to be free in time",
                 ResultCode.REQUEST_NOT_RUN_DEADLINE,
-                max(self._run_s, wait_s - allowed_s),
+                max(self._mean_run_s, wait_s - max_wait_s),
             )
 
-    def _make_room(self, priority: int) -> None:
-        bound = QUEUE_PER_SLOT * self.limit
-        if self._queued < QUEUE_SHARES[priority] * bound:
+    def _ensure_queue_space(self, priority: int) -> None:
+        max_queued = MAX_QUEUED_PER_SLOT * self.limit
+        if self._queued < QUEUE_RATIOS[priority] * max_queued:
             return
-        if self._queued < bound:
-            raise self._overloaded()
-        for lower in range(PRIORITIES - 1, priority, -1):
-            if self._queues[lower]:
-                waiter = self._queues[lower].pop()
+        if self._queued < max_queued:
+            raise self._overloaded_error()
+        for lower_priority in range(NUM_PRIORITIES - 1, priority, -1):
+            if self._queues[lower_priority]:
+                waiter = self._queues[lower_priority].pop()
                 self._refuse(waiter, ResultCode.REQUEST_NOT_RUN_OVERLOADED)
                 return
-        raise self._overloaded()
+        raise self._overloaded_error()
+
+    def _refuse_late_waiters(self, now: float) -> None:
+        """Refuse the last waiters whose responses would now miss their objective.
 
-    def _refuse_overtaken(self, now: float) -> None:
-        """Refuse who waits last and was overtaken until its answer would be late."""
+        Requests of higher priority that arrived later may have delayed them.
+        """
         ahead = self._queued
         for queue in reversed(self._queues):
             while queue:
                 ahead -= 1
-                due = queue[-1].order[0]
-                answer_at = now + (ahead + 1) * self._run_s / self.limit + self._run_s
-                if not due or answer_at <= due:
+                due_at = queue[-1].sort_key[0]
+                response_at = (
+                    now + (ahead + 1) * self._mean_run_s / self.limit + self._mean_run_s
+                )
+                if not due_at or response_at <= due_at:
                     return
                 self._refuse(queue.pop(), ResultCode.REQUEST_NOT_RUN_OVERLOADED)
 
@@ -222,9 +236,9 @@
         waiter.refusal = code
         waiter.event.set()
 
-    def _give_up(self, waiter: _Waiter, priority: int) -> None:
+    def _abandon(self, waiter: _Waiter, priority: int) -> None:
         if waiter.admitted:
-            self.leave()
+            self.release_slot()
         elif waiter.refusal is None:
             self._queues[priority].remove(waiter)
             self._queued -= 1
@@ -236,14 +250,14 @@
                 self._queued -= 1
                 waiter.admitted = True
                 waiter.event.set()
-                self._take_slot()
+                self._occupy_slot()
 
-    def _take_slot(self) -> None:
+    def _occupy_slot(self) -> None:
         self.running += 1
         self.max_running = max(self.max_running, self.running)
 
-    def _overloaded(self) -> NotRunError:
-        wait_s = self.queued * self._run_s / self.limit
+    def _overloaded_error(self) -> NotRunError:
+        wait_s = self.queued * self._mean_run_s / self.limit
         return NotRunError(
             "queue is full", ResultCode.REQUEST_NOT_RUN_OVERLOADED, wait_s
         )
--- a/marigoldchute/routing/budget.py
+++ b/marigoldchute/routing/budget.py
@@ -1,4 +1,4 @@
-"""Budgets that keep retries and cross-region requests bounded."""
+"""Budgets that limit retries and traffic between regions."""
 
 from __future__ import annotations
 
@@ -9,28 +9,30 @@
     from collections.abc import Callable
 
 BUCKETS_PER_WINDOW = 20
-BUDGET_MARGIN = 0.7  # Windows of nodes do not line up, and repeats call other services.
+# Leaves room for windows of nodes that are not aligned, and for the requests that
+# retries send to other services.
+BUDGET_SAFETY_FACTOR = 0.7
 
 
 class TokenBucket:
-    """Tokens that flow in at a rate, up to a burst.
+    """Token bucket with a refill rate and a burst size.
 
     Parameters
     ----------
     rate_per_s : float
-        Tokens a second.
+        Refill rate in tokens per second.
     burst : float
-        Greatest number of tokens held.
+        Maximum number of tokens in the bucket.
     """
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
         self._rate_per_s = rate_per_s
         self._burst = burst
         self._tokens = burst
-        self._at = float("-inf")
+        self._refilled_at = float("-inf")
 
     def take(self, count: float, now: float) -> bool:
-        """Take tokens if there are enough; return whether there were."""
+        """Acquire tokens if there are enough; return whether there were."""
         self._refill(now)
         if self._tokens < count:
             return False
@@ -38,7 +40,7 @@
         return True
 
     def charge(self, count: float, now: float) -> None:
-        """Take tokens even when there are too few; later takers wait longer."""
+        """Remove tokens unconditionally; the number of tokens may become negative."""
         self._refill(now)
         self._tokens -= count
 
@@ -49,90 +51,91 @@
 
     def _refill(self, now: float) -> None:
         self._tokens = min(
-            self._burst, self._tokens + (now - self._at) * self._rate_per_s
+            self._burst, self._tokens + (now - self._refilled_at) * self._rate_per_s
         )
-        self._at = now
+        self._refilled_at = now
 
 
 class RetryBudget:
-    """Retries as a share of recent requests, so that no storm of them forms.
+    """Retry budget proportional to requests, which prevents retry storms.
 
-    Each first try adds ``share`` of a token; a retry takes one. A small flow of tokens
-    lets a node with few requests retry too.
+    Each first attempt adds ``ratio`` tokens, and each retry consumes one. A small
+    constant rate of tokens allows retries on a node with few requests too.
 
     Parameters
     ----------
-    share : float
-        Retries for each first try, in the long run.
-    floor_per_s : float
-        Retries a second that are always allowed.
+    ratio : float
+        Retries allowed for each first attempt on average.
+    min_retries_per_s : float
+        Retries per second that are always allowed.
     burst : float
-        Greatest number of retries held back.
+        Maximum number of retries that can be accumulated.
     """
 
-    def __init__(self, share: float, floor_per_s: float, burst: float) -> None:
+    def __init__(self, ratio: float, min_retries_per_s: float, burst: float) -> None:
         self.requests = 0
         self.retries = 0
         self.refused_retries = 0
-        self._share = share
+        self._ratio = ratio
         self._burst = burst
-        self._earned = burst
-        self._floor = TokenBucket(floor_per_s, floor_per_s)
+        self._ratio_tokens = burst
+        self._min_rate_bucket = TokenBucket(min_retries_per_s, min_retries_per_s)
 
-    def add_request(self, now: float = 0.0, service: str = "") -> None:
-        """Take note of a first try."""
+    def record_request(self, now: float = 0.0, service: str = "") -> None:
+        """Record the first attempt of a request."""
         self.requests += 1
-        self._earned = min(self._burst, self._earned + self._share)
+        self._ratio_tokens = min(self._burst, self._ratio_tokens + self._ratio)
 
-    def take_retry(self, now: float, service: str = "") -> bool:
-        """Return whether one retry is allowed, and count it."""
-        allowed = self._take(now)
+    def acquire_retry(self, now: float, service: str = "") -> bool:
+        """Return whether one retry is allowed, and record it."""
+        allowed = self._acquire(now)
         self.retries += allowed
         self.refused_retries += not allowed
         return allowed
 
-    def _take(self, now: float) -> bool:
-        if self._earned >= 1.0:
-            self._earned -= 1.0
+    def _acquire(self, now: float) -> bool:
+        if self._ratio_tokens >= 1.0:
+            self._ratio_tokens -= 1.0
             return True
-        return self._floor.take(1.0, now)
+        return self._min_rate_bucket.take(1.0, now)
 
 
 class RetryLimit(Protocol):
-    """Decides which retries are allowed."""
+    """Policy that decides whether a retry is allowed."""
 
     requests: int
     retries: int
     refused_retries: int
 
-    def add_request(self, now: float = 0.0, service: str = "") -> None:
-        """Take note of a first try.
+    def record_request(self, now: float = 0.0, service: str = "") -> None:
+        """Record the first attempt of a request.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         service : str
-            Service that the request goes to.
+            Service that the request is sent to.
         """
 
-    def take_retry(self, now: float, service: str = "") -> bool:
-        """Return whether one retry is allowed, and count it."""
+    def acquire_retry(self, now: float, service: str = "") -> bool:
+        """Return whether one retry is allowed, and record it."""
 
 
 class WindowRetryBudget:
-    """A node's share of a budget that all nodes have together.
+    """One node's part of a retry budget that applies to all nodes together.
 
-    In any window, the retries of a service stay below a share of its requests plus a
-    slack. The share is taken of this node's own requests, the slack is divided evenly
-    among the nodes, so that the sum holds without any message between them.
+    In any window, the retries of a service stay below a ratio of its requests plus a
+    constant slack. The ratio applies to this node's own requests and the slack is
+    divided evenly among the nodes, so that the total stays within the budget without
+    communication between nodes.
 
     Parameters
     ----------
-    share : float
-        Retries for each request of the window.
+    ratio : float
+        Retries allowed for each request of the window.
     slack : float
-        Retries of all nodes together that are allowed on top.
+        Additional retries allowed to all nodes together.
     window_s : float
         Length of the window in seconds.
     node_count : callable
@@ -141,7 +144,7 @@
 
     def __init__(
         self,
-        share: float,
+        ratio: float,
         slack: float,
         window_s: float,
         node_count: Callable[[], int],
@@ -149,24 +152,24 @@
         self.requests = 0
         self.retries = 0
         self.refused_retries = 0
-        self._share = share
+        self._ratio = ratio
         self._slack = slack
         self._window_s = window_s
         self._node_count = node_count
-        self._requests: dict[str, _WindowCount] = {}
-        self._retries: dict[str, _WindowCount] = {}
+        self._request_counters: dict[str, _SlidingWindowCounter] = {}
+        self._retry_counters: dict[str, _SlidingWindowCounter] = {}
 
-    def add_request(self, now: float = 0.0, service: str = "") -> None:
-        """Take note of a first try."""
+    def record_request(self, now: float = 0.0, service: str = "") -> None:
+        """Record the first attempt of a request."""
         self.requests += 1
-        self._count_in(self._requests, service).add(now)
+        self._counter_for(self._request_counters, service).add(now)
 
-    def take_retry(self, now: float, service: str = "") -> bool:
-        """Return whether one retry is allowed, and count it."""
-        requests = self._count_in(self._requests, service).total(now)
-        retries = self._count_in(self._retries, service)
+    def acquire_retry(self, now: float, service: str = "") -> bool:
+        """Return whether one retry is allowed, and record it."""
+        requests = self._counter_for(self._request_counters, service).total(now)
+        retries = self._counter_for(self._retry_counters, service)
         slack = self._slack / max(1, self._node_count())
-        allowed = BUDGET_MARGIN * (self._share * requests + slack)
+        allowed = BUDGET_SAFETY_FACTOR * (self._ratio * requests + slack)
         if retries.total(now) + 1 > allowed:
             self.refused_retries += 1
             return False
@@ -174,32 +177,34 @@
         self.retries += 1
         return True
 
-    def _count_in(self, counts: dict[str, _WindowCount], service: str) -> _WindowCount:
+    def _counter_for(
+        self, counts: dict[str, _SlidingWindowCounter], service: str
+    ) -> _SlidingWindowCounter:
         count = counts.get(service)
         if count is None:
-            count = counts[service] = _WindowCount(self._window_s)
+            count = counts[service] = _SlidingWindowCounter(self._window_s)
         return count
 
 
-class _WindowCount:
-    """Events of the last window, kept in ``BUCKETS_PER_WINDOW`` parts."""
+class _SlidingWindowCounter:
+    """Sliding-window counter with ``BUCKETS_PER_WINDOW`` buckets."""
 
     def __init__(self, window_s: float) -> None:
-        self._part_s = window_s / BUCKETS_PER_WINDOW
-        self._parts: collections.deque[list[int]] = collections.deque()
-        self._sum = 0
+        self._bucket_s = window_s / BUCKETS_PER_WINDOW
+        self._buckets: collections.deque[list[int]] = collections.deque()
+        self._total = 0
 
     def add(self, now: float) -> None:
-        """Count an event."""
-        part = int(now / self._part_s)
-        if not self._parts or self._parts[-1][0] != part:
-            self._parts.append([part, 0])
-        self._parts[-1][1] += 1
-        self._sum += 1
+        """Record an event."""
+        bucket = int(now / self._bucket_s)
+        if not self._buckets or self._buckets[-1][0] != bucket:
+            self._buckets.append([bucket, 0])
+        self._buckets[-1][1] += 1
+        self._total += 1
 
     def total(self, now: float) -> int:
-        """Return the events of the window that ends now."""
-        oldest = int(now / self._part_s) - BUCKETS_PER_WINDOW
-        while self._parts and self._parts[0][0] < oldest:
-            self._sum -= self._parts.popleft()[1]
-        return self._sum
+        """Return the number of events in the window that ends now."""
+        oldest_bucket = int(now / self._bucket_s) - BUCKETS_PER_WINDOW
+        while self._buckets and self._buckets[0][0] < oldest_bucket:
+            self._total -= self._buckets.popleft()[1]
+        return self._total
--- a/marigoldchute/routing/call.py
+++ b/marigoldchute/routing/call.py
@@ -1,4 +1,4 @@
-"""State of one caller's request over all its tries."""
+"""State of one caller's request over all of its attempts."""
 
 from __future__ import annotations
 
@@ -21,36 +21,37 @@
     from marigoldchute.routing.target import Target
 
 
-SERVER_FAILURE = 500  # Least status of an answer that reports a failure.
-RETRIED_STATUSES = frozenset((500, 502, 503))  # Not 504: its time is over.
+SERVER_FAILURE = 500  # Lowest status of a response that counts as an error.
+RETRYABLE_STATUSES = frozenset((500, 502, 503))  # Not 504: no time is left for a retry.
 
 
 class Call:
-    """One caller's request; also the exchange of its tries on this VM.
+    """One caller's request; also the exchange of its attempts on this VM.
 
     Attributes
     ----------
-    maybe_run : bool
-        Whether some try may have run the request.
-    answer : ResponseHead or None
-        Head of the answer passed to the caller.
+    may_have_run : bool
+        Whether any attempt may have run the request.
+    response_head : ResponseHead or None
+        Head of the response to the latest attempt, if there is one.
     objective : float
-        Monotonic time until which an answer has its full worth; 0 when none is stated.
+        Monotonic time of the latency objective; 0 when the route has none.
     trail : list of str
-        Each try with its VM, outcome, time and the load that was expected there.
-    sends : int
-        Tries that may have reached a backend server.
-    refusals : int
-        Tries that certainly did not run.
-    holds_failures : bool
-        Whether a whole failure of a backend server is kept instead of passed on.
-    held : tuple of ResponseHead and bytes, or None
-        The failure that was kept.
+        For each attempt its VM, outcome, time and the load that was expected there.
+    delivered_attempts : int
+        Number of attempts that may have reached a backend server.
+    refused_attempts : int
+        Number of attempts that certainly did not run.
+    retains_errors : bool
+        Whether a backend server's complete error response is kept for a retry instead
+        of being forwarded.
+    retained_error : tuple of ResponseHead and bytes, or None
+        The error response that was kept.
     link_bytes : int
-        Bytes that the tries have sent to other nodes and received from them.
+        Bytes that the attempts have sent to other nodes and received from them.
     """
 
-    holds_failures = False
+    retains_errors = False
 
     def __init__(
         self,
@@ -81,21 +82,21 @@
         self.started_at = started_at
         self.bundle_version = bundle_version
         self.trail: list[str] = []
-        self.idempotent = entry.may_repeat(req.method)
+        self.idempotent = entry.is_idempotent(req.method)
         self.body = RequestBody(req)
-        self.tried: set[Target] = set()
+        self.attempted: set[Target] = set()
         self.tries = 0
-        self.sends = 0
-        self.refusals = 0
-        self.maybe_run = False
-        self.held: tuple[ResponseHead, bytes] | None = None
-        self.answer: ResponseHead | None = None
+        self.delivered_attempts = 0
+        self.refused_attempts = 0
+        self.may_have_run = False
+        self.retained_error: tuple[ResponseHead, bytes] | None = None
+        self.response_head: ResponseHead | None = None
         self.link_bytes = 0
         self._header_block = header_block
         self._chunked = req.has_body and req.header(b"content-length") is None
 
-    def head_for(self, target: Target, now: float) -> RequestHead:
-        """Return the request's head for a try at a target."""
+    def make_request_head(self, target: Target, now: float) -> RequestHead:
+        """Return the request's head for an attempt at a target."""
         route = self.entry.route
         req = self.req
         return RequestHead(
@@ -117,70 +118,70 @@
         )
 
     def take_whole_body(self) -> bytes | None:
-        """Return the whole body if all of it has arrived, else None."""
+        """Return the complete body if all of it has arrived, else None."""
         return self.body.take_whole()
 
     async def receive(self) -> bytes | None:
-        """Return the next piece of the body, or None at its whole end."""
+        """Return the next part of the body, or None at its end."""
         return await self.body.receive()
 
     async def send_whole(self, head: ResponseHead, body: bytes) -> None:
-        """Send a whole answer to the caller, or keep a failure."""
-        self.answer = head
-        if self.holds_failures and head.status in RETRIED_STATUSES:
-            self.held = (head, body)
+        """Send a complete response to the caller, or retain an error response."""
+        self.response_head = head
+        if self.retains_errors and head.status in RETRYABLE_STATUSES:
+            self.retained_error = (head, body)
             return
         try:
             await self.responder.send_whole(
                 head.status, head.header_block, head.has_length, body
             )
         except (OSError, trio.ClosedResourceError) as exc:
-            raise CallerGoneError("caller's connection broke") from exc
+            raise CallerGoneError("connection of the caller failed") from exc
 
     async def send_head(self, head: ResponseHead, body: bytes) -> None:
-        """Send the head of an answer and the first piece of its body."""
-        self.answer = head
+        """Send the head of a response and the first part of its body."""
+        self.response_head = head
         try:
             await self.responder.start_block(
                 head.status, head.header_block, head.has_length, body
             )
         except (OSError, trio.ClosedResourceError) as exc:
-            raise CallerGoneError("caller's connection broke") from exc
+            raise CallerGoneError("connection of the caller failed") from exc
 
     async def send(self, data: bytes) -> None:
-        """Send a further piece of the answer's body."""
+        """Send a further part of the response body."""
         try:
             await self.responder.send(data)
         except (OSError, trio.ClosedResourceError) as exc:
-            raise CallerGoneError("caller's connection broke") from exc
+            raise CallerGoneError("connection of the caller failed") from exc
 
     async def finish(self) -> None:
-        """Say that the answer is whole."""
+        """Mark the response as complete."""
         try:
             await self.responder.finish()
         except (OSError, trio.ClosedResourceError) as exc:
-            raise CallerGoneError("caller's connection broke") from exc
+            raise CallerGoneError("connection of the caller failed") from exc
 
     async def send_body(self, stream: Stream) -> None:
-        """Send the body to the owner."""
+        """Send the request body to the owner."""
         while (data := await self.body.receive()) is not None:
             self.link_bytes += len(data)
             await stream.send(data)
         stream.send_end()
 
-    async def pass_answer(self, stream: Stream) -> None:
-        """Pass the owner's answer on to the caller.
+    async def forward_response(self, stream: Stream) -> None:
+        """Forward the owner's response to the caller.
 
         Raises
         ------
         NotRunError
-            The owner says that the request did not run.
+            The owner reports that the request did not run.
         PeerError
-            The stream ended before the whole answer.
+            The stream ended before the response was complete.
         """
         head = _decode_head(await stream.receive_head())
         if head.code:
-            self.answer = head
+            self.response_head = head
             raise NotRunError(
                 "refused by the owner",
                 _refusal_code(head.code),
@@ -192,12 +193,12 @@
             self.link_bytes += len(body)
             await self.send_whole(head, body)
             return
-        first = await stream.receive()
-        if first is None:
+        first_data = await stream.receive()
+        if first_data is None:
             await self.send_whole(head, b"")
             return
-        self.link_bytes += len(first)
-        await self.send_head(head, first)
+        self.link_bytes += len(first_data)
+        await self.send_head(head, first_data)
         while (data := await stream.receive()) is not None:
             self.link_bytes += len(data)
             await self.send(data)
@@ -208,11 +209,13 @@
     try:
         return RESPONSE_DECODER.decode(data)
     except msgspec.DecodeError as exc:
-        raise PeerError(f"bad head: {exc}", ResultCode.PEER_PROTOCOL) from exc
+        raise PeerError(
+            f"malformed response head: {exc}", ResultCode.PEER_PROTOCOL
+        ) from exc
 
 
 def _refusal_code(code: int) -> ResultCode:
     try:
         return ResultCode(code)
-    except ValueError:  # A newer peer's code; the refusal itself is certain.
+    except ValueError:  # The code of a newer version; the request did not run.
         return ResultCode.REQUEST_NOT_RUN_NO_BACKEND
--- a/marigoldchute/routing/candidates.py
+++ b/marigoldchute/routing/candidates.py
@@ -1,4 +1,4 @@
-"""Candidates for each release, in tiers by distance, kept over member changes."""
+"""Tables of candidate targets by release, in tiers by distance."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidates:
-    """Targets of one release.
+    """Targets of one release, in tiers by distance.
 
     Parameters
     ----------
     own : tuple of Target
-        On this node's VM.
+        Targets on this node's VM.
     centre, region, remote : tuple of Target
-        In the data centre (own ones included), elsewhere in the region, and across
-        the link.
+        Targets in the data centre (including those of the own VM), elsewhere in the
+        region, and in other regions.
     """
 
     own: tuple[Target, ...] = ()
@@ -36,12 +36,12 @@
 
 
 class CandidateTables:
-    """Candidates by service and release.
+    """Tables of candidates by service and release.
 
-    The tables are rebuilt at the first request after a change of the members, at most
-    once in ``REBUILD_INTERVAL_S``, so that a herd of changes costs little. What was
-    observed of a backend server outlives a rebuild while its member's incarnation and
-    its release stay the same.
+    The tables are rebuilt by the first request after a change of the members, at most
+    once in ``REBUILD_INTERVAL_S``, which bounds the cost of a burst of changes. The
+    statistics of a backend server are kept over a rebuild while its member's
+    incarnation and its release stay the same.
 
     Parameters
     ----------
@@ -53,12 +53,12 @@
         self._members = members
         self._tables: dict[tuple[str, str], Candidates] = {}
         self._targets: dict[tuple[str, int, str, str], Target] = {}
-        self._stale = True
+        self._is_stale = True
         self._built_at = float("-inf")
 
     def mark_stale(self) -> None:
-        """Take note that a member changed."""
-        self._stale = True
+        """Mark the tables as stale after a change of a member."""
+        self._is_stale = True
 
     def find(self, service: str, release: str, now: float) -> Candidates:
         """Return the candidates of a release.
@@ -66,20 +66,20 @@
         Parameters
         ----------
         service, release : str
-            What to look for.
+            Service and release to look up.
         now : float
             Monotonic time in seconds.
         """
-        if self._stale and now - self._built_at >= REBUILD_INTERVAL_S:
+        if self._is_stale and now - self._built_at >= REBUILD_INTERVAL_S:
             self._rebuild(now)
-        found = self._tables.get((service, release))
-        if found is None and self._stale:
+        matches = self._tables.get((service, release))
+        if matches is None and self._is_stale:
             self._rebuild(now)
-            found = self._tables.get((service, release))
-        return found or NO_CANDIDATES
+            matches = self._tables.get((service, release))
+        return matches or NO_CANDIDATES
 
     def _rebuild(self, now: float) -> None:
-        self._stale = False
+        self._is_stale = False
         self._built_at = now
         targets: dict[tuple[str, int, str, str], Target] = {}
         by_release: dict[tuple[str, str], list[Target]] = {}
@@ -104,7 +104,8 @@
         self._targets = targets
         local = self._members.local
         self._tables = {
-            key: _split_by_distance(local, found) for key, found in by_release.items()
+            key: _split_by_distance(local, matches)
+            for key, matches in by_release.items()
         }
 
 
--- a/marigoldchute/routing/choice.py
+++ b/marigoldchute/routing/choice.py
@@ -1,4 +1,4 @@
-"""Choice of the backend server for one try."""
+"""Load balancing: choice of the backend server for one attempt."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     from marigoldchute.routing.candidates import Candidates
     from marigoldchute.routing.target import Target
 
-OWN_LOAD_SHARE = 0.7
-EJECTED_SHARE_MAX = 0.5
+OWN_LOAD_THRESHOLD = 0.7
+MAX_EJECTED_RATIO = 0.5
 DEFAULT_LATENCY_MS = 5.0
 LINK_BYTES_PER_S = 250_000
 LINK_BURST_BYTES = 500_000
@@ -25,62 +25,62 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wish:
-    """What a request needs of a choice.
+    """Properties of a request that the choice of a target depends on.
 
     Parameters
     ----------
     route : str
-        Name of its route.
+        Name of the request's route.
     objective_s : float
-        Time left in which an answer has its full worth; 0 when none is stated.
+        Time left until the latency objective of the route; 0 when it has none.
     """
 
     route: str = ""
     objective_s: float = 0.0
 
 
-NO_WISH = Wish()
+NO_PICK_INFO = Wish()
 
 
 class Chooser(Protocol):
-    """Chooses a backend server; implementations differ in policy."""
+    """Load-balancing policy that chooses a backend server."""
 
     def choose(
         self,
         candidates: Candidates,
-        tried: set[Target],
+        attempted: set[Target],
         now: float,
         now_ms: int,
-        wish: Wish = NO_WISH,
+        pick_info: Wish = NO_PICK_INFO,
     ) -> Target | None:
-        """Return the target of the next try, or None when there is none.
+        """Return the target of the next attempt, or None when there is none.
 
         Parameters
         ----------
         candidates : Candidates
-            Targets of the release by distance.
-        tried : set of Target
-            Targets that this request has been tried at.
+            Targets of the release, in tiers by distance.
+        attempted : set of Target
+            Targets of earlier attempts of this request.
         now : float
             Monotonic time in seconds.
         now_ms : int
             Wall-clock time in milliseconds since the epoch.
-        wish : Wish
-            What the request needs.
+        pick_info : Wish
+            Properties of the request.
         """
 
-    def take_run(self, target: Target, route: str, run_ms: float) -> None:
-        """Take note of the time that a target took to run a request of a route."""
+    def record_run_time(self, target: Target, route: str, run_ms: float) -> None:
+        """Record the time that a target took to run a request of a route."""
 
     def take_failure(self, target: Target, candidates: Candidates, now: float) -> None:
-        """Take note of a failed try, which may eject the target."""
+        """Record a failed attempt, which may eject the target."""
 
     def charge_link(self, target: Target, byte_count: int, now: float) -> None:
-        """Take note of the bytes that a try has sent or received."""
+        """Charge the bytes that an attempt has sent or received."""
 
 
 class RandomChooser:
-    """Any target of the nearest tier at random; a baseline for measurements."""
+    """Chooses a random target of the nearest tier; a baseline for benchmarks."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -88,19 +88,19 @@
     def choose(
         self,
         candidates: Candidates,
-        tried: set[Target],
+        attempted: set[Target],
         now: float,
         now_ms: int,
-        wish: Wish = NO_WISH,
+        pick_info: Wish = NO_PICK_INFO,
     ) -> Target | None:
-        """Return a random target of the nearest tier that has any."""
+        """Return a random target of the nearest tier that has one left."""
         for tier in (candidates.centre, candidates.region, candidates.remote):
-            left = [target for target in tier if target not in tried]
-            if left:
-                return self._rng.choice(left)
+            remaining = [target for target in tier if target not in attempted]
+            if remaining:
+                return self._rng.choice(remaining)
         return None
 
-    def take_run(self, target: Target, route: str, run_ms: float) -> None:
+    def record_run_time(self, target: Target, route: str, run_ms: float) -> None:
         """Do nothing."""
 
     def take_failure(self, target: Target, candidates: Candidates, now: float) -> None:
@@ -111,19 +111,19 @@
 
 
 class NearestLeastLoaded:
-    """Own VM, then data centre, then region, then across the link.
+    """Prefers own VM, then data centre, then region, then other regions.
 
-    The own VM's backend server is taken while its exactly known load is below
-    ``OWN_LOAD_SHARE`` of its limit, because that saves a hop. Within a tier the better
-    of two random targets is taken (Mitzenmacher, "The Power of Two Choices in
-    Randomized Load Balancing", 2001), by the entry node's own latency and in-flight
+    The own VM's backend server is chosen while its load, which is known exactly, is
+    below ``OWN_LOAD_THRESHOLD`` of its limit, because that saves a hop. Within a tier
+    the better of two random targets is chosen (Mitzenmacher, "The Power of Two Choices
+    in Randomized Load Balancing", 2001), by the entry node's own latency and in-flight
     counts. A farther tier is used only when each target of the nearer ones is ejected,
-    busy or tried; across the link also only within a byte budget.
+    busy or already attempted; targets across the link also only within a byte budget.
 
     Parameters
     ----------
     rng : random.Random
-        Random choices.
+        Source of random choices.
     gate_of : callable
         Returns the admission gate of a backend server of this VM by its id.
     local_region : str
@@ -144,61 +144,61 @@
     def choose(
         self,
         candidates: Candidates,
-        tried: set[Target],
+        attempted: set[Target],
         now: float,
         now_ms: int,
-        wish: Wish = NO_WISH,
+        pick_info: Wish = NO_PICK_INFO,
     ) -> Target | None:
-        """Return the target of the next try, or None when there is none."""
-        own = self._choose_own(candidates.own, tried, now, now_ms)
+        """Return the target of the next attempt, or None when there is none."""
+        own = self._choose_own(candidates.own, attempted, now, now_ms)
         if own is not None:
             return own
         for tier in (candidates.centre, candidates.region):
-            target = self._choose_in(tier, tried, now, now_ms)
+            target = self._choose_in_tier(tier, attempted, now, now_ms)
             if target is not None:
                 return target
         if candidates.remote and self._link_budget.has_tokens(now):
-            target = self._choose_in(candidates.remote, tried, now, now_ms)
+            target = self._choose_in_tier(candidates.remote, attempted, now, now_ms)
             if target is not None:
                 return target
-        return self._choose_unavailable(candidates, tried, now)
+        return self._choose_unavailable(candidates, attempted, now)
 
-    def take_run(self, target: Target, route: str, run_ms: float) -> None:
-        """Do nothing: the latency seen from here is what counts."""
+    def record_run_time(self, target: Target, route: str, run_ms: float) -> None:
+        """Do nothing: this policy uses the latency that the entry node measures."""
 
     def take_failure(self, target: Target, candidates: Candidates, now: float) -> None:
-        """Eject an outlier unless too many of its tier are ejected already."""
+        """Eject an outlier unless too many targets of its tier are already ejected."""
         if not target.is_outlier:
             return
         for tier in (candidates.centre, candidates.region, candidates.remote):
             if target not in tier:
                 continue
             ejected = sum(other.ejected_until > now for other in tier)
-            if (ejected + 1) <= EJECTED_SHARE_MAX * len(tier):
+            if (ejected + 1) <= MAX_EJECTED_RATIO * len(tier):
                 target.eject(now)
 
     def charge_link(self, target: Target, byte_count: int, now: float) -> None:
-        """Charge the budget of the link for a try across it."""
+        """Charge the budget of the link for an attempt across it."""
         if target.member.region != self._local_region:
             self._link_budget.charge(byte_count + LINK_REQUEST_BYTES, now)
 
     def _choose_own(
-        self, own: Sequence[Target], tried: set[Target], now: float, now_ms: int
+        self, own: Sequence[Target], attempted: set[Target], now: float, now_ms: int
     ) -> Target | None:
         for target in own:
-            if target in tried or not target.available(now):
+            if target in attempted or not target.available(now):
                 continue
             gate = self._gate_of(target.server.server_id)
             if gate is None or gate.draining or gate.queued:
                 continue
-            if gate.running >= OWN_LOAD_SHARE * gate.limit:
+            if gate.running >= OWN_LOAD_THRESHOLD * gate.limit:
                 continue
             if target.weight(now_ms) == 1.0:
                 return target
         return None
 
-    def _choose_in(
-        self, tier: Sequence[Target], tried: set[Target], now: float, now_ms: int
+    def _choose_in_tier(
+        self, tier: Sequence[Target], attempted: set[Target], now: float, now_ms: int
     ) -> Target | None:
         count = len(tier)
         if count > 2:
@@ -207,44 +207,49 @@
             usable = [
                 target
                 for target in (first, second)
-                if target not in tried and target.available(now)
+                if target not in attempted and target.available(now)
             ]
             if len(usable) == 2:
-                return _cheaper(first, second, now_ms)
+                return _pick_lower_cost(first, second, now_ms)
         usable = [
-            target for target in tier if target not in tried and target.available(now)
+            target
+            for target in tier
+            if target not in attempted and target.available(now)
         ]
         if not usable:
             return None
         if len(usable) > 2:
             usable = self._rng.sample(usable, 2)
         elif len(usable) == 2 and self._rng.random() < 0.5:
-            usable.reverse()  # Equal costs must not always favour the first.
+            usable.reverse()  # Targets of equal cost are chosen equally often.
         if len(usable) == 1:
             return usable[0]
-        return _cheaper(usable[0], usable[1], now_ms)
+        return _pick_lower_cost(usable[0], usable[1], now_ms)
 
     def _choose_unavailable(
-        self, candidates: Candidates, tried: set[Target], now: float
+        self, candidates: Candidates, attempted: set[Target], now: float
     ) -> Target | None:
-        """Return the target whose ban ends first: better than certain refusal."""
+        """Return the target that is available again first.
+
+        An attempt there may succeed, where a refusal certainly fails.
+        """
         for tier in (candidates.centre, candidates.region):
-            left = [target for target in tier if target not in tried]
-            if left:
-                return min(left, key=_banned_until)
-        left = [target for target in candidates.remote if target not in tried]
-        if left and self._link_budget.has_tokens(now):
-            return min(left, key=_banned_until)
+            remaining = [target for target in tier if target not in attempted]
+            if remaining:
+                return min(remaining, key=_unavailable_until)
+        remaining = [target for target in candidates.remote if target not in attempted]
+        if remaining and self._link_budget.has_tokens(now):
+            return min(remaining, key=_unavailable_until)
         return None
 
 
-def _banned_until(target: Target) -> float:
+def _unavailable_until(target: Target) -> float:
     return max(target.busy_until, target.ejected_until)
 
 
-def _cheaper(first: Target, second: Target, now_ms: int) -> Target:
-    known = [t.latency_ms for t in (first, second) if t.latency_ms is not None]
-    default_ms = known[0] if known else DEFAULT_LATENCY_MS
+def _pick_lower_cost(first: Target, second: Target, now_ms: int) -> Target:
+    latencies = [t.latency_ms for t in (first, second) if t.latency_ms is not None]
+    default_ms = latencies[0] if latencies else DEFAULT_LATENCY_MS
     first_cost = first.cost(default_ms, now_ms)
     second_cost = second.cost(default_ms, now_ms)
     return first if first_cost <= second_cost else second
--- a/marigoldchute/routing/dispatch.py
+++ b/marigoldchute/routing/dispatch.py
@@ -1,4 +1,4 @@
-"""One try of a request at one backend server, here or over a link."""
+"""One attempt of a request at a backend server, local or over a link."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
     from marigoldchute.routing.target import Target
     from marigoldchute.util.clock import Clock
 
-LINK_WAIT_S = 1.0
+LINK_TIMEOUT_S = 1.0
 UNREACHABLE_BACKOFF_S = 1.0
 
 
 class Dispatcher:
-    """Takes requests to the owners of backend servers and notes how they end.
+    """Sends requests to the owners of backend servers and records the outcomes.
 
     Parameters
     ----------
@@ -47,11 +47,11 @@
     traffic : LinkPool
         Links to the owners.
     owner : Owner
-        Owner side of this node.
+        Owner side of the request path on this node.
     chooser : Chooser
-        Learns of failures and of bytes on the links.
+        Load-balancing policy; gets run times, failures and bytes on the links.
     sink : OutcomeSink
-        Receives the outcome of every try.
+        Receives the outcome of every attempt.
     clock : Clock
         Wall clock of the process.
     """
@@ -72,48 +72,46 @@
         self._sink = sink
         self._clock = clock
 
-    async def try_once(
-        self, call: Call, target: Target, candidates: Candidates
-    ) -> None:
-        """Run a request at a target and pass its answer on.
+    async def attempt(self, call: Call, target: Target, candidates: Candidates) -> None:
+        """Run a request at a target and forward its response.
 
         Raises
         ------
         NotRunError
             The request did not run.
         RequestError, PeerError, AuthError
-            It may have run, and no whole answer was passed on.
+            It may have run, and no complete response was forwarded.
         """
         started = time.perf_counter()
         outcome = Outcome.UNKNOWN
-        call.answer = None
+        call.response_head = None
         expected_load = target.expected_load(trio.current_time())
         cold = target.is_cold(self._clock.now_ms())
         code = ResultCode.OK
         target.in_flight += 1
         try:
-            head = call.head_for(target, trio.current_time())
+            head = call.make_request_head(target, trio.current_time())
             if target.member.name == self._members.local.name:
-                call.maybe_run, before = True, call.maybe_run
+                call.may_have_run, may_have_run_before = True, call.may_have_run
                 try:
                     await self._owner.execute(head, call)
                 except NotRunError:
-                    call.maybe_run = before
+                    call.may_have_run = may_have_run_before
                     raise
             else:
-                await self._try_remote(call, target, head)
-            assert call.answer is not None
-            error = call.answer.status >= SERVER_FAILURE
-            outcome = Outcome.ERROR if error else Outcome.OK
+                await self._attempt_remote(call, target, head)
+            assert call.response_head is not None
+            is_error = call.response_head.status >= SERVER_FAILURE
+            outcome = Outcome.ERROR if is_error else Outcome.OK
         except trio.Cancelled:
-            gone = call.req.caller_gone
-            outcome = Outcome.CANCELLED if gone else Outcome.OVERDUE
+            caller_gone = call.req.caller_gone
+            outcome = Outcome.CANCELLED if caller_gone else Outcome.OVERDUE
             raise
         except (RequestError, PeerError, AuthError) as exc:
             outcome = outcome_of(exc)
             code = exc.code
             if isinstance(exc, NotRunError):
-                _take_refusal(target, exc)
+                _handle_refusal(target, exc)
             raise
         finally:
             target.in_flight -= 1
@@ -123,9 +121,11 @@
                 f" code={code.value} ms={latency_ms:.0f} load={expected_load:.1f}"
                 f"/{target.server.slots}"
             )
-            self._observe(call, target, candidates, outcome, latency_ms, cold)
+            self._record_outcome(call, target, candidates, outcome, latency_ms, cold)
 
-    async def _try_remote(self, call: Call, target: Target, head: RequestHead) -> None:
+    async def _attempt_remote(
+        self, call: Call, target: Target, head: RequestHead
+    ) -> None:
         link = self._traffic.live(target.member.name)
         if link is None:
             link = await self._open_link(target)
@@ -134,18 +134,19 @@
         try:
             stream = link.open_stream(encoded, body)
         except PeerError as exc:
-            raise _unreachable(target) from exc
-        call.maybe_run, before = True, call.maybe_run
+            raise _unreachable_error(target) from exc
+        call.may_have_run, may_have_run_before = True, call.may_have_run
         call.link_bytes = len(encoded) + len(body or b"")
         try:
             if body is not None:
-                await call.pass_answer(stream)
+                await call.forward_response(stream)
             else:
                 await send_and_receive(
-                    lambda: call.send_body(stream), lambda: call.pass_answer(stream)
+                    lambda: call.send_body(stream),
+                    lambda: call.forward_response(stream),
                 )
         except NotRunError:
-            call.maybe_run = before
+            call.may_have_run = may_have_run_before
             stream.reset(ResultCode.REQUEST_CANCELLED)
             raise
         except BaseException:
@@ -157,14 +158,14 @@
             self._chooser.charge_link(target, call.link_bytes, now)
 
     async def _open_link(self, target: Target) -> Link:
-        with trio.move_on_after(LINK_WAIT_S):
+        with trio.move_on_after(LINK_TIMEOUT_S):
             try:
                 return await self._traffic.get(target.member.name)
             except (PeerError, AuthError) as exc:
-                raise _unreachable(target) from exc
-        raise _unreachable(target)
+                raise _unreachable_error(target) from exc
+        raise _unreachable_error(target)
 
-    def _observe(
+    def _record_outcome(
         self,
         call: Call,
         target: Target,
@@ -175,18 +176,18 @@
     ) -> None:
         now = trio.current_time()
         now_ms = self._clock.now_ms()
-        answer = call.answer
+        response_head = call.response_head
         if outcome in (Outcome.OK, Outcome.ERROR):
             target.take_answer(latency_ms, outcome is Outcome.ERROR)
         if outcome in (Outcome.UNKNOWN, Outcome.OVERDUE, Outcome.NOT_RUN):
-            target.take_failure()
+            target.record_failure()
         if outcome is not Outcome.OK:
             self._chooser.take_failure(target, candidates, now)
-        if answer is not None:
-            target.take_load(answer.load, now)
+        if response_head is not None:
+            target.record_load(response_head.load, now)
             if outcome is Outcome.OK:
-                run_ms = answer.backend_us / 1000
-                self._chooser.take_run(target, call.entry.route.name, run_ms)
+                run_ms = response_head.backend_us / 1000
+                self._chooser.record_run_time(target, call.entry.route.name, run_ms)
         self._sink.record(
             call.entry.route.name,
             call.service.name,
@@ -194,19 +195,19 @@
             call.split.move_id,
             outcome,
             latency_ms,
-            answer.load_level if answer is not None else 0,
+            response_head.load_level if response_head is not None else 0,
             cold,
             now_ms,
         )
 
 
-def _unreachable(target: Target) -> NotRunError:
+def _unreachable_error(target: Target) -> NotRunError:
     target.busy_until = trio.current_time() + UNREACHABLE_BACKOFF_S
     return NotRunError(f"{target.member.name} cannot be reached")
 
 
-def _take_refusal(target: Target, exc: NotRunError) -> None:
+def _handle_refusal(target: Target, exc: NotRunError) -> None:
     if exc.code in SHED_CODES:
-        target.take_busy(trio.current_time())
+        target.back_off(trio.current_time())
     elif exc.code is ResultCode.REQUEST_NOT_RUN_DRAINING:
         target.busy_until = trio.current_time() + UNREACHABLE_BACKOFF_S
--- a/marigoldchute/routing/entry.py
+++ b/marigoldchute/routing/entry.py
@@ -1,4 +1,4 @@
-"""Entry side of the request path: from a caller to the node of a backend server."""
+"""Entry side of the request path: routes callers' requests to owners."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from marigoldchute.routing.choice import Wish
 from marigoldchute.routing.dialect import OWN_DIALECT
 from marigoldchute.routing.dispatch import Dispatcher
-from marigoldchute.routing.failure import outcome_of, truthful
+from marigoldchute.routing.failure import error_to_report, outcome_of
 from marigoldchute.routing.first_bundle import FirstBundleWait
 from marigoldchute.routing.headers import parse_deadline_ms, request_block
 from marigoldchute.routing.http_request import CallerGoneError
 from marigoldchute.routing.metrics import RouteMetrics
 from marigoldchute.routing.outcomes import Outcome
 from marigoldchute.routing.policy import STREAMING_POLICY
-from marigoldchute.routing.refusal import CALLER_FAULTS, send_refusal
+from marigoldchute.routing.refusal import CALLER_ERROR_CODES, send_error_response
 from marigoldchute.routing.release_choice import ReleaseChoice
 from marigoldchute.routing.request_log import RequestLog
 from marigoldchute.routing.route_table import RouteTable
@@ -55,11 +55,13 @@
     from marigoldchute.routing.target import Target
     from marigoldchute.util.clock import Clock
 
-RETRY_SHARE = 0.2
-RETRY_FLOOR_PER_S = 5.0
+RETRY_RATIO = 0.2
+MIN_RETRIES_PER_S = 5.0
 RETRY_BURST = 20.0
-MIN_TRY_SHARE = 0.15  # With less of its time left, a try ends at the deadline.
-MAX_REFUSALS = 3  # A refusal costs one hop; more than three rarely find room in time.
+# With less of its time left, an attempt would likely end at the deadline.
+MIN_REMAINING_TIME_RATIO = 0.15
+# Each refusal costs one hop, and a fourth attempt rarely finds a slot in time.
+MAX_REFUSED_ATTEMPTS = 3
 
 
 def _no_service() -> str:
@@ -80,25 +82,26 @@
     traffic : LinkPool
         Links to the owners.
     owner : Owner
-        Owner side of this node.
+        Owner side of the request path on this node.
     chooser : Chooser
-        Policy of the choice.
+        Load-balancing policy.
     sink : OutcomeSink
-        Receives the outcome of every try.
+        Receives the outcome of every attempt.
     log : EventLog
         Event log of the process.
     clock : Clock
         Wall clock of the process.
     rng : random.Random
-        Random choices.
+        Source of random choices.
     dialect : Dialect
         Header names of callers and backend servers.
     policy : PathPolicy
-        How answers are treated.
+        Options of the request path.
     retry_budget : RetryLimit, optional
-        Bound on retries; a ``RetryBudget`` by default.
+        Limit on retries; a ``RetryBudget`` by default.
     caller_service : callable
-        Returns the service on this VM, which is told to backend servers.
+        Returns the service on this VM, which is sent to backend servers as the
+        caller's service.
     """
 
     def __init__(
@@ -121,7 +124,7 @@
         self.metrics = RouteMetrics()
         self.tables = CandidateTables(members)
         self.retry_budget: RetryLimit = retry_budget or RetryBudget(
-            RETRY_SHARE, RETRY_FLOOR_PER_S, RETRY_BURST
+            RETRY_RATIO, MIN_RETRIES_PER_S, RETRY_BURST
         )
         self._routes: RouteTable | None = None
         self._splits = splits
@@ -131,25 +134,25 @@
         self._clock = clock
         self._rng = rng
         self._dialect = dialect
-        self._own_headers = dialect.own_request_headers
+        self._own_request_headers = dialect.own_request_headers
         self._policy = policy
         self._first_bundle = FirstBundleWait(policy.first_bundle_wait_s)
         self._caller_service = caller_service
-        self._releases = ReleaseChoice(rng, policy.boost_rare_routes)
+        self._release_choice = ReleaseChoice(rng, policy.boost_rare_routes)
         self._request_log = RequestLog(log)
         self._dispatcher = Dispatcher(members, traffic, owner, chooser, sink, clock)
-        in_force.on_swap(self._take_bundle)
+        in_force.on_swap(self._on_bundle)
 
-    def _take_bundle(self, bundle: Bundle) -> None:
+    def _on_bundle(self, bundle: Bundle) -> None:
         self._routes = RouteTable(bundle)
-        self._first_bundle.take_bundle()
+        self._first_bundle.on_bundle()
 
     async def handle_external(self, req: HttpRequest, responder: HttpResponder) -> None:
-        """Answer a request from a caller outside the mesh."""
+        """Handle a request from a caller outside the mesh."""
         await self._handle(req, responder, False)
 
     async def handle_internal(self, req: HttpRequest, responder: HttpResponder) -> None:
-        """Answer a request from a backend server on this VM."""
+        """Handle a request from a backend server on this VM."""
         await self._handle(req, responder, True)
 
     async def _handle(
@@ -163,19 +166,19 @@
             if self._routes is None:
                 await self._first_bundle.wait(req, received_at)
             call = self._make_call(req, responder, internal, received_at)
-            await self._run_call(call)
-            if call.answer is not None:
+            await self._execute_call(call)
+            if call.response_head is not None:
                 now = trio.current_time()
-                self._request_log.emit_answered(call, call.answer.status, now)
+                self._request_log.emit_answered(call, call.response_head.status, now)
         except CallerGoneError:
             outcome = Outcome.CANCELLED
         except (RequestError, PeerError, AuthError) as exc:
             outcome = outcome_of(exc)
             self._log_failed(req, call, outcome, exc)
             if not responder.started:
-                await send_refusal(responder, exc, self._rng.random())
+                await send_error_response(responder, exc, self._rng.random())
         if call is not None:
-            self._measure(call, outcome, started)
+            self._record_latency(call, outcome, started)
 
     def _log_failed(
         self,
@@ -184,8 +187,8 @@
         outcome: Outcome,
         exc: MarigoldchuteError,
     ) -> None:
-        given = req.header(self._dialect.request_id) or b""
-        request_id = call.request_id if call is not None else given.decode("latin-1")
+        given_id = req.header(self._dialect.request_id) or b""
+        request_id = call.request_id if call is not None else given_id.decode("latin-1")
         now = trio.current_time()
         self._request_log.emit_failed(req, call, request_id, outcome, exc, now)
 
@@ -198,15 +201,16 @@
     ) -> Call:
         if self._members.fenced:
             raise NotRunError(
-                "too few members are heard", ResultCode.REQUEST_NOT_RUN_FENCED
+                "node is fenced: too few members are reachable",
+                ResultCode.REQUEST_NOT_RUN_FENCED,
             )
         entry = self._find_route(req, internal)
-        service = self._releases.pick_service(entry)
+        service = self._release_choice.pick_service(entry)
         split = self._splits.split(service.name, service.release)
         timeout_ms = entry.route.timeout_ms
-        given_ms = parse_deadline_ms(req.header(self._dialect.deadline))
-        if given_ms is not None:
-            timeout_ms = min(timeout_ms, given_ms)
+        caller_timeout_ms = parse_deadline_ms(req.header(self._dialect.deadline))
+        if caller_timeout_ms is not None:
+            timeout_ms = min(timeout_ms, caller_timeout_ms)
         if timeout_ms <= 0:
             raise NotRunError(
                 "deadline has passed", ResultCode.REQUEST_NOT_RUN_DEADLINE
@@ -218,9 +222,9 @@
             entry,
             service,
             split,
-            self._releases.pick_release(req, entry, service, split),
+            self._release_choice.pick_release(req, entry, service, split),
             self._request_id(req, internal),
-            request_block(req.headers, self._own_headers),
+            request_block(req.headers, self._own_request_headers),
             received_at + timeout_ms / 1000,
             received_at + objective_ms / 1000 if objective_ms else 0.0,
             self._caller_service(),
@@ -235,7 +239,9 @@
             )
         entry = self._routes.find(req.target, req.header(b"host") or b"")
         if entry is None:
-            raise NotRunError("no route", ResultCode.REQUEST_NOT_RUN_NO_ROUTE)
+            raise NotRunError(
+                "no route matches the request", ResultCode.REQUEST_NOT_RUN_NO_ROUTE
+            )
         if entry.service.internal and not internal:
             raise NotRunError(
                 f"service {entry.service.name!r} is internal",
@@ -244,27 +250,27 @@
         return entry
 
     def _request_id(self, req: HttpRequest, internal: bool) -> str:
-        given = None
+        given_id = None
         if internal or self._dialect.keeps_given_id:
-            given = req.header(self._dialect.request_id)
-        if given:
-            return given.decode("latin-1")
+            given_id = req.header(self._dialect.request_id)
+        if given_id:
+            return given_id.decode("latin-1")
         return (
             "" if self._dialect.keeps_given_id else f"{self._rng.getrandbits(64):016x}"
         )
 
-    async def _run_call(self, call: Call) -> None:
+    async def _execute_call(self, call: Call) -> None:
         with trio.CancelScope(deadline=call.deadline) as scope:
             call.req.scope = scope
-            await self._try_until_done(call)
+            await self._attempt_until_done(call)
         if not scope.cancelled_caught:
             return
         if call.req.caller_gone:
             raise CallerGoneError("caller closed the connection")
-        if call.held is not None and not call.responder.started:
-            await self._pass_held(call)
+        if call.retained_error is not None and not call.responder.started:
+            await self._forward_retained_error(call)
             return
-        if call.maybe_run:
+        if call.may_have_run:
             raise RequestError(
                 "no whole answer before the deadline",
                 ResultCode.REQUEST_OUTCOME_UNKNOWN_DEADLINE,
@@ -273,67 +279,74 @@
             "not run before the deadline", ResultCode.REQUEST_NOT_RUN_DEADLINE
         )
 
-    async def _try_until_done(self, call: Call) -> None:
+    async def _attempt_until_done(self, call: Call) -> None:
         service = call.service.name
-        self.retry_budget.add_request(trio.current_time(), service)
+        self.retry_budget.record_request(trio.current_time(), service)
         while True:
             call.tries += 1
-            call.holds_failures = self._may_hold_failure(call)
+            call.retains_errors = self._may_retain_error(call)
             try:
                 target, candidates = self._choose(call)
-                await self._dispatcher.try_once(call, target, candidates)
-                call.sends += 1
+                await self._dispatcher.attempt(call, target, candidates)
+                call.delivered_attempts += 1
             except (RequestError, PeerError, AuthError) as exc:
                 if not isinstance(exc, NotRunError):
-                    call.maybe_run = True
+                    call.may_have_run = True
                 if not self._may_retry(call, exc, trio.current_time()):
-                    if call.held is None:
-                        raise truthful(call, exc) from exc
-                    await self._pass_held(call)
+                    if call.retained_error is None:
+                        raise error_to_report(call, exc) from exc
+                    await self._forward_retained_error(call)
                     return
             else:
                 if call.responder.started:
                     return
-                call.maybe_run = True
-                if not self.retry_budget.take_retry(trio.current_time(), service):
-                    await self._pass_held(call)
+                call.may_have_run = True
+                if not self.retry_budget.acquire_retry(trio.current_time(), service):
+                    await self._forward_retained_error(call)
                     return
             call.body.rewind()
 
-    def _may_hold_failure(self, call: Call) -> bool:
+    def _may_retain_error(self, call: Call) -> bool:
         return (
             self._policy.retry_errors
             and call.idempotent
-            and call.held is None
-            and call.sends + 1 < call.entry.route.max_attempts
+            and call.retained_error is None
+            and call.delivered_attempts + 1 < call.entry.route.max_attempts
         )
 
-    async def _pass_held(self, call: Call) -> None:
-        """Pass on a backend server's failure that no other try made up for."""
-        assert call.held is not None
-        call.holds_failures = False
-        head, body = call.held
+    async def _forward_retained_error(self, call: Call) -> None:
+        """Forward a retained error response when no retry succeeded."""
+        assert call.retained_error is not None
+        call.retains_errors = False
+        head, body = call.retained_error
         await call.send_whole(head, body)
 
     def _choose(self, call: Call) -> tuple[Target, Candidates]:
         now = trio.current_time()
         now_ms = self._clock.now_ms()
         service = call.service.name
-        wish = Wish(call.entry.route.name, max(0.0, call.objective - now))
+        pick_info = Wish(call.entry.route.name, max(0.0, call.objective - now))
         candidates = self.tables.find(service, call.release, now)
-        target = self._chooser.choose(candidates, call.tried, now, now_ms, wish)
-        if target is None and self._fall_back(call, now_ms):
+        target = self._chooser.choose(
+            candidates, call.attempted, now, now_ms, pick_info
+        )
+        if target is None and self._fall_back_to_old_release(call, now_ms):
             candidates = self.tables.find(service, call.release, now)
-            target = self._chooser.choose(candidates, call.tried, now, now_ms, wish)
+            target = self._chooser.choose(
+                candidates, call.attempted, now, now_ms, pick_info
+            )
         if target is None:
             raise NotRunError(f"no backend server of {service!r} {call.release!r}")
-        call.tried.add(target)
+        call.attempted.add(target)
         return target, candidates
 
-    def _fall_back(self, call: Call, now_ms: int) -> bool:
-        """Use the old release while the new one has no backend server at all."""
+    def _fall_back_to_old_release(self, call: Call, now_ms: int) -> bool:
+        """Switch to the old release if the new one has no backend server at all.
+
+        Returns whether it did.
+        """
         split = call.split
-        if call.tried or split.share >= 1.0 or call.release == split.old_release:
+        if call.attempted or split.share >= 1.0 or call.release == split.old_release:
             return False
         self._sink.record(
             call.entry.route.name,
@@ -352,29 +365,31 @@
     def _may_retry(self, call: Call, exc: MarigoldchuteError, now: float) -> bool:
         if call.responder.started or not call.body.rewindable:
             return False
-        if exc.code in CALLER_FAULTS or isinstance(exc, CallerGoneError):
+        if exc.code in CALLER_ERROR_CODES or isinstance(exc, CallerGoneError):
             return False
-        if call.maybe_run and not call.idempotent:
+        if call.may_have_run and not call.idempotent:
             return False
-        if call.deadline - now < MIN_TRY_SHARE * (call.deadline - call.started_at):
+        if call.deadline - now < MIN_REMAINING_TIME_RATIO * (
+            call.deadline - call.started_at
+        ):
             return False
-        arrived = True
+        reached_backend = True
         if isinstance(exc, NotRunError):
-            call.refusals += 1
-            arrived = exc.code is ResultCode.REQUEST_NOT_RUN_REFUSED
-            if call.refusals >= MAX_REFUSALS:
+            call.refused_attempts += 1
+            reached_backend = exc.code is ResultCode.REQUEST_NOT_RUN_REFUSED
+            if call.refused_attempts >= MAX_REFUSED_ATTEMPTS:
                 return False
-        if not arrived:
-            return True  # Only what reaches a backend server counts as a repeat.
-        call.sends += 1
-        if call.sends >= call.entry.route.max_attempts:
+        if not reached_backend:
+            return True  # Only attempts that reach a backend server count as retries.
+        call.delivered_attempts += 1
+        if call.delivered_attempts >= call.entry.route.max_attempts:
             return False
-        return self.retry_budget.take_retry(now, call.service.name)
+        return self.retry_budget.acquire_retry(now, call.service.name)
 
-    def _measure(self, call: Call, outcome: Outcome, started: float) -> None:
+    def _record_latency(self, call: Call, outcome: Outcome, started: float) -> None:
         total_us = int((time.perf_counter() - started) * 1_000_000)
-        if call.answer is not None:
-            total_us -= call.answer.backend_us
-            if outcome is Outcome.OK and call.answer.status >= SERVER_FAILURE:
+        if call.response_head is not None:
+            total_us -= call.response_head.backend_us
+            if outcome is Outcome.OK and call.response_head.status >= SERVER_FAILURE:
                 outcome = Outcome.ERROR
         self.metrics.record(call.entry.route.name, outcome.value, total_us)
--- a/marigoldchute/routing/failure.py
+++ b/marigoldchute/routing/failure.py
@@ -1,4 +1,4 @@
-"""What a failed try says of a request."""
+"""Classification of the errors that end an attempt."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from marigoldchute.errors import NotRunError, RequestError, ResultCode
 from marigoldchute.routing.http_request import CallerGoneError
 from marigoldchute.routing.outcomes import Outcome
-from marigoldchute.routing.refusal import CALLER_FAULTS
+from marigoldchute.routing.refusal import CALLER_ERROR_CODES
 
 if TYPE_CHECKING:
     from marigoldchute.errors import MarigoldchuteError
@@ -23,8 +23,8 @@
 
 
 def outcome_of(exc: MarigoldchuteError) -> Outcome:
-    """Return the outcome that an error stands for."""
-    if isinstance(exc, CallerGoneError) or exc.code in CALLER_FAULTS:
+    """Return the outcome of an attempt that ended with an error."""
+    if isinstance(exc, CallerGoneError) or exc.code in CALLER_ERROR_CODES:
         return Outcome.CANCELLED
     if isinstance(exc, NotRunError):
         return Outcome.SHED if exc.code in SHED_CODES else Outcome.NOT_RUN
@@ -33,11 +33,14 @@
     return Outcome.UNKNOWN
 
 
-def truthful(call: Call, exc: MarigoldchuteError) -> MarigoldchuteError:
-    """Return the error to answer with: an earlier try may have run the request."""
-    if call.maybe_run and isinstance(exc, NotRunError):
+def error_to_report(call: Call, exc: MarigoldchuteError) -> MarigoldchuteError:
+    """Return the error to report to the caller.
+
+    If an earlier attempt may have run the request, it is not reported as not run.
+    """
+    if call.may_have_run and isinstance(exc, NotRunError):
         return RequestError(
-            f"an earlier try may have run; the last one: {exc.message}",
+            f"an earlier attempt may have run; last attempt: {exc.message}",
             ResultCode.REQUEST_OUTCOME_UNKNOWN,
         )
     return exc
--- a/marigoldchute/routing/first_bundle.py
+++ b/marigoldchute/routing/first_bundle.py
@@ -1,4 +1,4 @@
-"""Requests that arrive while a new process has no bundle yet."""
+"""Handling of requests that arrive before the first bundle."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 class FirstBundleWait:
     """Holds requests for the short time in which the first bundle is expected.
 
-    The time counts from the first request that needed it, not for each request, so
-    that requests are refused at once where no bundle comes.
+    The time starts with the first request that needs the bundle, not with each
+    request, so that requests are soon refused at once if no bundle arrives.
 
     Parameters
     ----------
     limit_s : float
-        Seconds after the first held request in which requests are held.
+        Seconds after the first held request for which requests are held.
     """
 
     def __init__(self, limit_s: float) -> None:
         self._limit_s = limit_s
-        self._until: float | None = None
-        self._taken = trio.Event()
+        self._deadline: float | None = None
+        self._bundle_received = trio.Event()
 
-    def take_bundle(self) -> None:
-        """Let the held requests go on."""
-        self._taken.set()
+    def on_bundle(self) -> None:
+        """Continue the held requests."""
+        self._bundle_received.set()
 
     async def wait(self, req: HttpRequest, now: float) -> None:
         """Wait for the first bundle, or until it is no longer expected.
@@ -46,14 +46,14 @@
         Raises
         ------
         CallerGoneError
-            The caller left meanwhile.
+            The caller closed its connection meanwhile.
         """
-        if self._until is None:
-            self._until = now + self._limit_s
-        if now >= self._until:
+        if self._deadline is None:
+            self._deadline = now + self._limit_s
+        if now >= self._deadline:
             return
-        with trio.move_on_at(self._until) as scope:
+        with trio.move_on_at(self._deadline) as scope:
             req.scope = scope
-            await self._taken.wait()
+            await self._bundle_received.wait()
         if req.caller_gone:
             raise CallerGoneError("caller closed the connection")
--- a/marigoldchute/routing/metrics.py
+++ b/marigoldchute/routing/metrics.py
@@ -9,7 +9,7 @@
 LOWEST_US = 1
 HIGHEST_US = 60_000_000
 SIGNIFICANT_DIGITS = 2
-MAX_HISTOGRAMS = 48  # Of 20 KB each; a bundle may hold hundreds of rare routes.
+MAX_HISTOGRAMS = 48  # 20 KB each; a bundle may contain hundreds of rarely used routes.
 OTHER_ROUTES = "other"
 
 
@@ -22,7 +22,7 @@
     route, outcome : str
         Name of the route and value of ``Outcome``.
     count : int
-        Requests.
+        Number of requests.
     p50_us, p99_us, p999_us, max_us : int
         Percentiles in microseconds.
     """
@@ -37,17 +37,17 @@
 
 
 class RouteMetrics:
-    """Keeps one histogram for each route and outcome.
+    """Latency histograms by route and outcome.
 
-    Routes that are first used when there are ``MAX_HISTOGRAMS`` share one for each
-    outcome, named ``OTHER_ROUTES``.
+    Once there are ``MAX_HISTOGRAMS``, further routes share one histogram for each
+    outcome under the name ``OTHER_ROUTES``.
     """
 
     def __init__(self) -> None:
         self._histograms: dict[tuple[str, str], HdrHistogram] = {}
 
     def record(self, route: str, outcome: str, added_us: int) -> None:
-        """Take the latency added to one request, in microseconds."""
+        """Record the latency added to one request, in microseconds."""
         key = (route, outcome)
         histogram = self._histograms.get(key)
         if histogram is None and len(self._histograms) >= MAX_HISTOGRAMS:
--- a/marigoldchute/routing/outcomes.py
+++ b/marigoldchute/routing/outcomes.py
@@ -1,21 +1,21 @@
-"""Outcome of each request as the move evidence and the metrics receive it."""
+"""Outcomes of attempts, as move evidence and metrics record them."""
 
 from __future__ import annotations
 
 import enum
 from typing import Protocol
 
-LOAD_LEVELS = 4
+NUM_LOAD_LEVELS = 4
 
 
 class Outcome(enum.Enum):
-    """How one try at a backend server ended.
+    """Outcome of one attempt at a backend server.
 
-    ``OK`` and ``ERROR`` are whole answers; ``ERROR`` is one with a status of 500 or
+    ``OK`` and ``ERROR`` are complete responses; ``ERROR`` has a status of 500 or
     above. ``SHED`` is a refusal by admission or by the backend server for lack of
-    capacity, ``NOT_RUN`` any other refusal before the request ran. ``UNKNOWN`` may
-    have run. ``OVERDUE`` still ran when its time was over. ``CANCELLED`` was given up
-    by the caller.
+    capacity, ``NOT_RUN`` any other refusal before the request ran. ``UNKNOWN`` means
+    that the request may have run, ``OVERDUE`` that it was still running at its
+    deadline, and ``CANCELLED`` that the caller cancelled it.
     """
 
     OK = "ok"
@@ -28,7 +28,7 @@
 
 
 class OutcomeSink(Protocol):
-    """Receives the outcome of every finished try; must not block."""
+    """Receives the outcome of every finished attempt; must not block."""
 
     def record(
         self,
@@ -42,21 +42,21 @@
         cold: bool,
         now_ms: int,
     ) -> None:
-        """Take one outcome.
+        """Record one outcome.
 
         Parameters
         ----------
         route, service, release : str
-            Where the request went.
+            Route, service and release of the request.
         move_id : str
-            Move under way for the service; empty when there is none.
+            Move in progress for the service; empty when there is none.
         outcome : Outcome
-            How the try ended.
+            Outcome of the attempt.
         latency_ms : float
-            Time from the choice of the backend server to the end of the answer.
+            Time from the choice of the backend server to the end of the response.
         load_level : int
             Quarter of the backend server's slots in use when it admitted the
-            request, 0 to ``LOAD_LEVELS - 1``.
+            request, 0 to ``NUM_LOAD_LEVELS - 1``.
         cold : bool
             Whether the backend server was in its cold start.
         now_ms : int
--- a/marigoldchute/routing/owner.py
+++ b/marigoldchute/routing/owner.py
@@ -1,4 +1,4 @@
-"""Owner side of the request path: the only way to the VM's backend servers."""
+"""Owner side of the request path: runs requests on the VM's backend servers."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     from marigoldchute.routing.messages import RequestHead
     from marigoldchute.routing.request_log import RequestLog
 
-SWEEP_S = 1.0
-DRAIN_POLL_S = 0.02
+SWEEP_INTERVAL_S = 1.0
+DRAIN_POLL_INTERVAL_S = 0.02
 
 
 class LocalServers(Protocol):
-    """Where the backend servers of this VM are announced."""
+    """Source of the announced backend servers of this VM."""
 
     @property
     def local(self) -> Member:
@@ -46,7 +46,7 @@
 
 
 class OwnedServer:
-    """One backend server of this VM with its slots and connections."""
+    """Backend server of this VM with its admission gate and connection pool."""
 
     def __init__(self, server: BackendServer, address: str, adaptive: bool) -> None:
         self.server = server
@@ -54,7 +54,7 @@
         self.pool = BackendConnPool(address, server.port)
 
     def update(self, server: BackendServer) -> None:
-        """Take a new announcement."""
+        """Apply a new announcement of the backend server."""
         self.server = server
         self.gate.update(server)
         if server.draining:
@@ -64,18 +64,20 @@
 class Owner:
     """Runs requests on the backend servers of this VM within their slots.
 
+    No request reaches these backend servers in another way.
+
     Parameters
     ----------
     servers : LocalServers
-        Announced backend servers.
+        Source of the announced backend servers.
     address : str
-        IP number of the VM.
+        IP address of the VM.
     dialect : Dialect
         Header names of the backend servers.
     policy : PathPolicy
-        How answers and load are treated.
+        Options of the request path.
     log : RequestLog, optional
-        Takes what became of other nodes' requests.
+        Log for failed requests of other nodes.
     """
 
     def __init__(
@@ -99,19 +101,19 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Look after idle and abandoned connections until cancelled."""
+        """Close idle connections and track abandoned requests until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
             while True:
-                await trio.sleep(SWEEP_S)
+                await trio.sleep(SWEEP_INTERVAL_S)
                 self._refresh()
                 for owned in self._owned.values():
                     owned.pool.close_idle(trio.current_time())
 
     @property
     def running(self) -> int:
-        """Requests that run on the backend servers of this VM."""
+        """Number of requests that run on the backend servers of this VM."""
         return sum(owned.gate.running for owned in self._owned.values())
 
     def gate(self, server_id: str) -> AdmissionGate | None:
@@ -120,7 +122,7 @@
         return None if owned is None else owned.gate
 
     def drain(self) -> None:
-        """Admit nothing more on any backend server of this VM."""
+        """Refuse new and waiting requests for all backend servers of this VM."""
         self._draining = True
         for owned in self._owned.values():
             owned.gate.drain()
@@ -128,10 +130,10 @@
     async def wait_idle(self) -> None:
         """Wait until no request runs on a backend server of this VM."""
         while self.running:
-            await trio.sleep(DRAIN_POLL_S)
+            await trio.sleep(DRAIN_POLL_INTERVAL_S)
 
     async def serve(self, stream: Stream) -> None:
-        """Serve one request of an entry node."""
+        """Handle one request from an entry node."""
         exchange = StreamExchange(stream)
         try:
             head = REQUEST_DECODER.decode(stream.head)
@@ -147,7 +149,7 @@
             if scope.cancelled_caught:
                 stream.reset(ResultCode.REQUEST_OUTCOME_UNKNOWN_DEADLINE)
         except NotRunError as exc:
-            self._note(head, exc)
+            self._log_failed_request(head, exc)
             owned = self._find(head.server_id)
             refusal = ResponseHead(
                 503,
@@ -157,41 +159,41 @@
             )
             await stream.send_whole(ENCODER.encode(refusal), b"")
         except PeerError as exc:
-            self._note(head, exc)
+            self._log_failed_request(head, exc)
             stream.reset(ResultCode.REQUEST_OUTCOME_UNKNOWN)
         except MarigoldchuteError as exc:
-            self._note(head, exc)
+            self._log_failed_request(head, exc)
             stream.reset(exc.code)
 
-    def _note(self, head: RequestHead, exc: MarigoldchuteError) -> None:
+    def _log_failed_request(self, head: RequestHead, exc: MarigoldchuteError) -> None:
         if self._log is not None:
             owned = self._find(head.server_id)
             load = owned.gate.load if owned is not None else 0
             self._log.emit_owner(head, exc, load, trio.current_time())
 
     async def execute(self, head: RequestHead, exchange: Exchange) -> None:
-        """Run one request on the backend server that its head names.
+        """Run one request on the backend server named in its head.
 
         Raises
         ------
         NotRunError
             The request did not run; nothing was sent to ``exchange``.
         RequestError
-            The request may have run, and no whole answer was sent.
+            The request may have run, and no complete response was sent.
         """
         if self._servers.fenced:
             raise NotRunError("fenced", ResultCode.REQUEST_NOT_RUN_FENCED)
         owned = self._find(head.server_id)
         if owned is None:
-            raise NotRunError("backend server is not here")
+            raise NotRunError("backend server is not on this VM")
         server = owned.server
         if server.service != head.service or server.release != head.release:
-            raise NotRunError("another release serves at this address now")
+            raise NotRunError("backend server now runs another service or release")
         gate = owned.gate
         remaining_ms = head.remaining_ms
-        if not gate.try_enter():
+        if not gate.try_acquire_slot():
             entered_at = trio.current_time()
-            await gate.enter(
+            await gate.acquire_slot(
                 head.priority, remaining_ms / 1000, head.objective_ms / 1000
             )
             waited_ms = int((trio.current_time() - entered_at) * 1000)
@@ -200,7 +202,7 @@
         try:
             conn = await owned.pool.take(head.idempotent, server.connections)
         except BaseException:
-            gate.leave()
+            gate.release_slot()
             raise
         run = BackendRun(
             head,
@@ -215,37 +217,39 @@
         try:
             await run.execute()
         except BaseException as exc:
-            self._end_failed(owned, run, isinstance(exc, trio.Cancelled))
+            self._release_failed(owned, run, isinstance(exc, trio.Cancelled))
             raise
         now = trio.current_time()
-        gate.take_sample(run.run_s, running, now)
+        gate.record_sample(run.run_s, running, now)
         if run.reusable and not gate.draining:
             conn.limit_idle(run.keep_alive_s)
             owned.pool.give_back(conn, now)
         else:
             owned.pool.discard(conn)
-        gate.leave()
+        gate.release_slot()
 
-    def _end_failed(self, owned: OwnedServer, run: BackendRun, cancelled: bool) -> None:
+    def _release_failed(
+        self, owned: OwnedServer, run: BackendRun, cancelled: bool
+    ) -> None:
         if run.refused:
-            owned.gate.take_refusal(trio.current_time())
-        still_runs = run.written and not run.ended
-        if still_runs and self._nursery is not None:
-            self._nursery.start_soon(self._hold_abandoned, owned, run.conn)
+            owned.gate.record_refusal(trio.current_time())
+        may_still_run = run.written and not run.ended
+        if may_still_run and self._nursery is not None:
+            self._nursery.start_soon(self._wait_abandoned, owned, run.conn)
             return
         if run.refused and run.reusable:
             owned.pool.give_back(run.conn, trio.current_time())
         else:
             owned.pool.discard(run.conn)
-        owned.gate.leave()
+        owned.gate.release_slot()
 
-    async def _hold_abandoned(self, owned: OwnedServer, conn: BackendConn) -> None:
-        # The backend server may still run the request, so its slot is not free yet.
+    async def _wait_abandoned(self, owned: OwnedServer, conn: BackendConn) -> None:
+        # The slot stays in use, as the backend server may still run the request.
         try:
             await conn.wait_abandoned()
         finally:
             owned.pool.discard(conn)
-            owned.gate.leave()
+            owned.gate.release_slot()
 
     def _find(self, server_id: str) -> OwnedServer | None:
         if self._servers.local is not self._member:
@@ -260,7 +264,7 @@
         announced = {server.server_id: server for server in member.servers}
         for server_id in tuple(self._owned):
             if server_id not in announced:
-                self._drop(server_id)
+                self._remove(server_id)
         for server_id, server in announced.items():
             owned = self._owned.get(server_id)
             if owned is None:
@@ -272,7 +276,7 @@
             if self._draining:
                 owned.gate.drain()
 
-    def _drop(self, server_id: str) -> None:
+    def _remove(self, server_id: str) -> None:
         owned = self._owned[server_id]
         owned.gate.drain()
         owned.pool.close_all_idle()
--- a/marigoldchute/routing/path.py
+++ b/marigoldchute/routing/path.py
@@ -1,4 +1,4 @@
-"""Assembly of the request path of one node, and its graceful stop."""
+"""Assembly and graceful shutdown of the request path of one node."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 MAX_ANNOUNCEMENT_BYTES = 65_536
 DRAIN_ACCEPT_S = 1.0
 DRAIN_LIMIT_S = 30.0
-DRAIN_POLL_S = 0.02
+DRAIN_POLL_INTERVAL_S = 0.02
 
 
 class RequestPath:
@@ -44,21 +44,21 @@
     in_force : InForce
         Bundle in force.
     engine : MoveEngine
-        Split of each service between releases.
+        Source of the split of each service between releases.
     membership : Membership
         Members of the mesh and announced backend servers.
     table : RecordTable
-        Tells of changes of members.
+        Record table whose member records are watched.
     traffic : LinkPool
         Links to the owners.
     sink : OutcomeSink
-        Receives the outcome of every try.
+        Receives the outcome of every attempt.
     log : EventLog
         Event log of the process.
     clock : Clock
         Wall clock of the process.
     rng : random.Random
-        Random choices.
+        Source of random choices.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve callers and backend servers until cancelled."""
+        """Serve requests of callers and backend servers until cancelled."""
         cfg = self._cfg
         async with trio.open_nursery() as nursery:
             await nursery.start(self.owner.run)
@@ -113,11 +113,12 @@
             task_status.started()
 
     async def drain(self) -> None:
-        """Stop without cutting a request, within ``DRAIN_LIMIT_S``.
+        """Stop without interrupting a request, within ``DRAIN_LIMIT_S``.
 
-        Backend servers of this VM get nothing new from now on: what waits here or
-        still arrives from other nodes is refused as not run and tried elsewhere. For
-        ``DRAIN_ACCEPT_S`` callers are still served, by backend servers on other VMs.
+        Backend servers of this VM get no new requests from now on: requests that wait
+        here or still arrive from other nodes are refused as not run and retried
+        elsewhere. For ``DRAIN_ACCEPT_S`` callers are still served, by backend servers
+        on other VMs.
         """
         self.owner.drain()
         self._caller_edge.drain()
@@ -125,12 +126,12 @@
             await trio.sleep(DRAIN_ACCEPT_S)
             self._caller_edge.stop_accepting()
             while self._caller_edge.is_busy or self.owner.running:
-                await trio.sleep(DRAIN_POLL_S)
+                await trio.sleep(DRAIN_POLL_INTERVAL_S)
         if scope.cancelled_caught:
             self._log.emit(
                 "routing",
                 "drain-limit",
-                f"{self.owner.running} requests still run at the end of the drain.",
+                f"{self.owner.running} requests still run at the drain limit.",
             )
 
     async def _handle_internal(
@@ -163,5 +164,5 @@
 
     def _log_failure(self, exc: Exception) -> None:
         self._log.emit(
-            "routing", "failure", f"A request met an unexpected error: {exc!r}."
+            "routing", "failure", f"A request failed with an unexpected error: {exc!r}."
         )
--- a/marigoldchute/routing/policy.py
+++ b/marigoldchute/routing/policy.py
@@ -1,4 +1,4 @@
-"""How a mesh's request path treats answers, refusals and load."""
+"""Options of the request path that differ between kinds of mesh."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class PathPolicy:
-    """Choices of the request path that depend on where the mesh runs.
+    """Options of the request path that depend on the platform of the mesh.
 
     Parameters
     ----------
     adaptive_limit : bool
-        Whether an owner lowers the slots of its backend server by latency and
-        refusals; without, the announced slots stand.
+        Whether an owner lowers the concurrency limit of its backend server on rising
+        latency and refusals; otherwise the announced slots are the limit.
     gather_bytes : int
-        Size up to which an answer is held until it is whole, so that a cut one can
-        still be replaced by another try or by an honest failure; 0 streams all.
+        Size in bytes up to which a response is buffered until it is complete, so that
+        a truncated one can still be replaced by a retry or by an error response; 0
+        streams every response.
     retry_errors : bool
-        Whether a repeatable request that a backend server answered with a failure of
-        its own is tried at another one.
+        Whether an idempotent request is retried at another backend server when the
+        first one responds with an error.
     boost_rare_routes : bool
-        Whether a new release gets a larger share of the routes with few requests.
+        Whether a new release gets a larger share on routes with few requests.
     first_bundle_wait_s : float
-        Seconds for which a new process holds requests while it has no bundle yet.
+        Seconds for which a new process holds requests until its first bundle.
     """
 
     adaptive_limit: bool = True
--- a/marigoldchute/routing/refusal.py
+++ b/marigoldchute/routing/refusal.py
@@ -1,4 +1,4 @@
-"""Answers that the node itself gives when no backend server answered."""
+"""Error responses that the node itself sends when a request fails."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     ResultCode.REQUEST_SENDER_TIMEOUT: 408,
     ResultCode.REQUEST_TOO_LARGE: 431,
 }
-CALLER_FAULTS = frozenset(
+CALLER_ERROR_CODES = frozenset(
     {
         ResultCode.REQUEST_MALFORMED,
         ResultCode.REQUEST_SENDER_TIMEOUT,
@@ -30,33 +30,34 @@
 )
 
 
-DEFAULT_RETRY_AFTER_S = 0.25  # About a request's run time, when no wait is known.
+# Used if the wait is not known; about the run time of a request.
+DEFAULT_RETRY_AFTER_S = 0.25
 MAX_RETRY_AFTER_S = 2.0
 
 
-async def send_refusal(
-    responder: HttpResponder, exc: MarigoldchuteError, spread: float
+async def send_error_response(
+    responder: HttpResponder, exc: MarigoldchuteError, jitter: float
 ) -> None:
-    """Answer with the code, and whether the request certainly did not run.
+    """Send the result code and whether the request certainly did not run.
 
     Parameters
     ----------
     responder : HttpResponder
-        Takes the answer.
+        Sends the response.
     exc : MarigoldchuteError
-        Why the request is not answered.
-    spread : float
-        Random number in [0, 1) that keeps callers from coming back all at once.
+        Reason of the failure.
+    jitter : float
+        Random number in [0, 1) that keeps callers from all retrying at the same time.
     """
     not_run = isinstance(exc, NotRunError)
     status = _STATUSES.get(exc.code, STATUS_NOT_RUN if not_run else STATUS_UNKNOWN)
-    if exc.code in CALLER_FAULTS:
+    if exc.code in CALLER_ERROR_CODES:
         responder.keep_alive = False
     body = f"{exc}\n".encode()
     retry_after = b""
     if status == STATUS_NOT_RUN and isinstance(exc, NotRunError):
         wait_s = exc.retry_after_s or DEFAULT_RETRY_AFTER_S
-        wait_s = min(MAX_RETRY_AFTER_S, wait_s * (1.0 + spread))
+        wait_s = min(MAX_RETRY_AFTER_S, wait_s * (1.0 + jitter))
         retry_after = b"retry-after: %.2f\r\n" % wait_s
     block = retry_after + (
         b"content-type: text/plain\r\ncontent-length: %d\r\n%s: %d\r\n%s: %s\r\n"
--- a/marigoldchute/routing/route_mix.py
+++ b/marigoldchute/routing/route_mix.py
@@ -1,18 +1,21 @@
-"""Shares of a new release by route, so that rare routes are judged in time too."""
+"""Shares of a new release by route, raised on routes with few requests."""
 
 from __future__ import annotations
 
-RARE_BOOST_MAX = 12.0  # A route of one request in twenty gets as many as one of two.
-RARE_SHARE_MAX = 0.7  # Leaves the old release some answers to compare with.
-MIN_REQUESTS = 20  # With fewer, the part of a route is not known.
-WINDOW_REQUESTS = 2_000  # Counts are halved here, so that a changed mix is followed.
+# A route with one request in twenty gets as many as one of two.
+MAX_RARE_ROUTE_BOOST = 12.0
+MAX_RARE_ROUTE_SHARE = 0.7  # Leaves the old release some responses to compare with.
+MIN_REQUESTS = 20  # With fewer, a route's part of the traffic is not known well.
+# Counts are halved at this total, so that they follow changes of the traffic.
+WINDOW_REQUESTS = 2_000
 
 
 class RouteMix:
-    """How the requests of each service divide over its routes at this node.
+    """Distribution of each service's requests over its routes at this node.
 
-    A release may be bad on one route only. With one share for all, a route that takes
-    few requests brings too few answers to tell before most requests go there.
+    A release may be faulty on one route only. With the same share on all routes, a
+    route with few requests yields too few responses to detect that before most
+    requests go to the new release.
     """
 
     def __init__(self) -> None:
@@ -20,12 +23,12 @@
         self._totals: dict[str, int] = {}
 
     def add_request(self, service: str, route: str) -> None:
-        """Count a request."""
+        """Record a request."""
         counts = self._counts.setdefault(service, {})
         counts[route] = counts.get(route, 0) + 1
         total = self._totals.get(service, 0) + 1
         if total >= WINDOW_REQUESTS:
-            counts = {n: c // 2 for n, c in counts.items() if c > 1}
+            counts = {name: count // 2 for name, count in counts.items() if count > 1}
             self._counts[service] = counts
             total = sum(counts.values())
         self._totals[service] = total
@@ -36,20 +39,20 @@
         Parameters
         ----------
         service, route : str
-            Where the request goes.
+            Service and route of the request.
         share : float
-            Share of the service's requests, 0 to 1.
+            Share of the service's traffic for the new release, 0 to 1.
 
         Returns
         -------
         float
-            At least ``share``; more for a route that takes less than an even part of
+            At least ``share``; more for a route that gets less than an equal part of
             the service's requests.
         """
         counts = self._counts.get(service, {})
         total = self._totals.get(service, 0)
         if total < MIN_REQUESTS:
             return share
-        part = max(1, counts.get(route, 0)) / total
-        boost = min(RARE_BOOST_MAX, 1.0 / (len(counts) * part))
-        return max(share, min(RARE_SHARE_MAX, share * boost))
+        route_ratio = max(1, counts.get(route, 0)) / total
+        boost = min(MAX_RARE_ROUTE_BOOST, 1.0 / (len(counts) * route_ratio))
+        return max(share, min(MAX_RARE_ROUTE_SHARE, share * boost))
--- a/marigoldchute/routing/route_table.py
+++ b/marigoldchute/routing/route_table.py
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteEntry:
-    """A route with what a request needs of it."""
+    """Route with values precomputed for requests."""
 
     route: Route
     service: Service
@@ -22,19 +22,19 @@
     idempotent_methods: frozenset[bytes]
     sticky_header: bytes
 
-    def may_repeat(self, method: bytes) -> bool:
-        """Whether a request may run more than once."""
+    def is_idempotent(self, method: bytes) -> bool:
+        """Return whether a request may run more than once."""
         if self.route.repeatable is not None:
             return self.route.repeatable
         return method in self.idempotent_methods
 
     def service_at(self, point: float) -> Service:
-        """Return the service that takes a point in [0, 1) of the requests."""
-        return self.service if self.parts is None else self.parts.at(point)
+        """Return the service for a point in [0, 1), by weight."""
+        return self.service if self.parts is None else self.parts.item_at(point)
 
 
 class RouteTable:
-    """Longest-prefix lookup: one look in a map for each length of a prefix.
+    """Longest-prefix lookup, with one map access for each length of a prefix.
 
     Parameters
     ----------
@@ -48,8 +48,8 @@
         by_host: dict[bytes, dict[bytes, RouteEntry]] = {}
         for route in bundle.content.routes:
             prefixes = by_host.setdefault(route.host.lower().encode(), {})
-            prefixes[route.path_prefix.encode()] = _entry(route, services)
-        self._by_host = {host: _Prefixes(found) for host, found in by_host.items()}
+            prefixes[route.path_prefix.encode()] = _make_entry(route, services)
+        self._by_host = {host: _PrefixTable(found) for host, found in by_host.items()}
         self._any_host = self._by_host.get(b"")
 
     def find(self, target: bytes, host: bytes = b"") -> RouteEntry | None:
@@ -58,7 +58,7 @@
         Parameters
         ----------
         target : bytes
-            Request target; a query is no part of the path.
+            Request target; its query string is ignored.
         host : bytes
             Value of the Host header, with or without a port.
         """
@@ -70,7 +70,7 @@
         return found
 
 
-class _Prefixes:
+class _PrefixTable:
     """The routes of one host."""
 
     def __init__(self, by_prefix: dict[bytes, RouteEntry]) -> None:
@@ -86,7 +86,7 @@
         return None
 
 
-def _entry(route: Route, services: dict[str, Service]) -> RouteEntry:
+def _make_entry(route: Route, services: dict[str, Service]) -> RouteEntry:
     methods = frozenset(method.encode() for method in route.idempotent_methods)
     parts = None
     if route.parts:
@@ -94,5 +94,5 @@
             [services[part.service] for part in route.parts],
             [part.weight for part in route.parts],
         )
-    sticky = route.sticky_header.lower().encode()
-    return RouteEntry(route, services[route.service], parts, methods, sticky)
+    sticky_header = route.sticky_header.lower().encode()
+    return RouteEntry(route, services[route.service], parts, methods, sticky_header)
--- a/marigoldchute/routing/spread.py
+++ b/marigoldchute/routing/spread.py
@@ -1,4 +1,4 @@
-"""Division of requests by weights without dice."""
+"""Deterministic division of requests by weights."""
 
 from __future__ import annotations
 
@@ -9,21 +9,24 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-GOLDEN_STEP = 0.6180339887498949  # Golden ratio: gaps stay even however many points.
+# The golden ratio keeps the gaps even for any number of points.
+GOLDEN_RATIO_STEP = 0.6180339887498949
 
 T = TypeVar("T")
 
 
-class Spread:
-    """Points in [0, 1) that fill it evenly, a low-discrepancy sequence.
+class LowDiscrepancySequence:
+    """Low-discrepancy sequence of points in [0, 1).
 
-    Any run of ``n`` points holds a share ``s`` of them below ``s`` within a few
-    points, where random choice is off by the root of ``n``.
+    Of any ``n`` consecutive points, the number below ``s`` differs from ``n * s`` by a
+    few points only, where independent random points differ by about the square root
+    of ``n``.
 
     Parameters
     ----------
     start : float
-        First point; differs between nodes, so that they do not act in step.
+        Start of the sequence; differs between nodes, so that they are not
+        synchronized.
     """
 
     def __init__(self, start: float) -> None:
@@ -31,26 +34,28 @@
 
     def next(self) -> float:
         """Return the next point."""
-        self._point = (self._point + GOLDEN_STEP) % 1.0
+        self._point = (self._point + GOLDEN_RATIO_STEP) % 1.0
         return self._point
 
 
 class WeightedChoice(Generic[T]):
-    """Chooses among items by weight.
+    """Maps points in [0, 1) to items in proportion to their weights.
 
     Parameters
     ----------
     items : sequence
-        What to choose from.
+        Items to choose from.
     weights : sequence of float
-        Weight of each; some are above 0.
+        Weight of each item; at least one is above 0.
     """
 
     def __init__(self, items: Sequence[T], weights: Sequence[float]) -> None:
         self._items = tuple(items)
-        self._bounds = list(itertools.accumulate(weights))
+        self._cumulative_weights = list(itertools.accumulate(weights))
 
-    def at(self, point: float) -> T:
-        """Return the item whose stretch of [0, 1) holds a point."""
-        index = bisect.bisect_right(self._bounds, point * self._bounds[-1])
+    def item_at(self, point: float) -> T:
+        """Return the item whose part of [0, 1) contains a point."""
+        index = bisect.bisect_right(
+            self._cumulative_weights, point * self._cumulative_weights[-1]
+        )
         return self._items[min(index, len(self._items) - 1)]
--- a/marigoldchute/routing/sticky.py
+++ b/marigoldchute/routing/sticky.py
@@ -1,4 +1,4 @@
-"""Requests that keep to a release by the value of a header."""
+"""Sticky assignment of requests to a release by a header value."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def sticky_point(move_id: str, value: bytes) -> float:
-    """Return the fixed point in [0, 1) of a sticky header's value.
+    """Return the point in [0, 1) that a sticky header's value hashes to.
 
-    A request takes the new release while its point is below the share, so a value
-    that has moved stays moved as the share grows.
+    A request goes to the new release if its point is below the share, so a value that
+    is assigned to the new release keeps it as the share grows.
     """
     digest = hashlib.blake2b(value, digest_size=8, key=move_id.encode()[:64]).digest()
     return int.from_bytes(digest, "big") / 2**64
--- a/tests/test_routing/paths.py
+++ b/tests/test_routing/paths.py
@@ -1,4 +1,4 @@
-"""A mesh with a bundle in force and clients of its request path."""
+"""Base class for tests of the request path on a mesh of processes."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 
 
 class PathTestCase(MeshTestCase):
-    """Two VMs of one data centre."""
+    """Runs two VMs of one data centre."""
 
     centres = 1
     per_centre = 2
 
     async def start_path(
-        self, *on: str, service_ms: float = 2.0, slots: int = 12
+        self, *backend_vms: str, service_ms: float = 2.0, slots: int = 12
     ) -> None:
-        """Start the mesh, backend servers on the named VMs, and roll the bundle."""
+        """Start the mesh and backend servers on the named VMs, and roll the bundle."""
         self.start_nodes()
-        for name in on:
+        for name in backend_vms:
             self.mesh.start_backend(
                 BackendSettings(
                     self.mesh.vm(name).address,
@@ -59,7 +59,7 @@
             FIRST,
             lambda s: (
                 len(s.members) == count
-                and sum(bool(m.servers) for m in s.members) == len(on)
+                and sum(bool(m.servers) for m in s.members) == len(backend_vms)
             ),
         )
         status, _, err = await self.roll(self.write_bundle(BUNDLE), FIRST)
@@ -92,7 +92,7 @@
             )
 
     async def runs_of(self, key: str, *vm_names: str) -> int:
-        """Return how often the backend servers of some VMs ran a request."""
+        """Return how often the backend servers of the named VMs ran a request."""
         states = [await self.mesh.backend_state(name) for name in vm_names]
         return sum(state.runs.get(key, 0) for state in states)
 
@@ -111,6 +111,6 @@
 
 
 def outcome_of(response: httpcore.Response) -> str:
-    """Return what a response says of the request's execution."""
+    """Return the value of a response's outcome header, or ``answered``."""
     value = dict(response.headers).get(b"marigoldchute-outcome", b"answered")
     return value.decode()
--- a/tests/test_routing/test_choice.py
+++ b/tests/test_routing/test_choice.py
@@ -1,4 +1,4 @@
-"""Choice of the backend server."""
+"""Tests of NearestLeastLoaded and the candidate tables."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
         self.own = make_target("own")
         self.near = make_target("near")
         self.region = make_target("region")
-        self.far = make_target("far", "limon")
+        self.remote = make_target("far", "limon")
         self.candidates = Candidates(
-            (self.own,), (self.own, self.near), (self.region,), (self.far,)
+            (self.own,), (self.own, self.near), (self.region,), (self.remote,)
         )
         self.gate = AdmissionGate(self.own.server)
 
@@ -51,46 +51,48 @@
         chooser = make_chooser(self.gate)
         self.assertEqual(count_choices(chooser, self.candidates), {"own": 1000})
 
-    def test_own_server_under_load_is_one_of_many(self) -> None:
+    def test_loaded_own_server_is_not_preferred(self) -> None:
         while self.gate.running < 10:
-            self.gate.try_enter()
+            self.gate.try_acquire_slot()
         counts = count_choices(make_chooser(self.gate), self.candidates)
         self.assertGreater(counts["near"], 200)
         self.assertEqual(counts["region"] + counts["far"], 0)
 
-    def test_farther_tiers_are_used_only_when_nearer_ones_are_tried(self) -> None:
+    def test_farther_tier_is_used_after_attempts_at_nearer_ones(self) -> None:
         chooser = make_chooser()
-        tried = {self.own, self.near}
-        target = chooser.choose(self.candidates, tried, 0.0, NOW_MS)
+        attempted = {self.own, self.near}
+        target = chooser.choose(self.candidates, attempted, 0.0, NOW_MS)
         self.assertIs(target, self.region)
-        tried.add(self.region)
-        self.assertIs(chooser.choose(self.candidates, tried, 0.0, NOW_MS), self.far)
-        tried.add(self.far)
-        self.assertIsNone(chooser.choose(self.candidates, tried, 0.0, NOW_MS))
+        attempted.add(self.region)
+        self.assertIs(
+            chooser.choose(self.candidates, attempted, 0.0, NOW_MS), self.remote
+        )
+        attempted.add(self.remote)
+        self.assertIsNone(chooser.choose(self.candidates, attempted, 0.0, NOW_MS))
 
-    def test_the_link_is_used_within_its_budget_only(self) -> None:
+    def test_link_is_used_only_within_its_budget(self) -> None:
         chooser = make_chooser()
-        candidates = Candidates(remote=(self.far,))
-        self.assertIs(chooser.choose(candidates, set(), 0.0, NOW_MS), self.far)
-        chooser.charge_link(self.far, 1_000_000, 0.0)
+        candidates = Candidates(remote=(self.remote,))
+        self.assertIs(chooser.choose(candidates, set(), 0.0, NOW_MS), self.remote)
+        chooser.charge_link(self.remote, 1_000_000, 0.0)
         self.assertIsNone(chooser.choose(candidates, set(), 0.1, NOW_MS))
-        self.assertIs(chooser.choose(candidates, set(), 10.0, NOW_MS), self.far)
+        self.assertIs(chooser.choose(candidates, set(), 10.0, NOW_MS), self.remote)
 
-    def test_bytes_within_the_region_cost_no_budget(self) -> None:
+    def test_bytes_within_region_are_not_charged(self) -> None:
         chooser = make_chooser()
         chooser.charge_link(self.near, 10_000_000, 0.0)
-        candidates = Candidates(remote=(self.far,))
-        self.assertIs(chooser.choose(candidates, set(), 0.0, NOW_MS), self.far)
+        candidates = Candidates(remote=(self.remote,))
+        self.assertIs(chooser.choose(candidates, set(), 0.0, NOW_MS), self.remote)
 
 
 class LoadTest(unittest.TestCase):
-    def test_the_less_loaded_of_two_is_taken(self) -> None:
+    def test_loaded_server_gets_fewer_requests(self) -> None:
         targets = tuple(make_target(f"t{i}") for i in range(4))
         targets[0].in_flight = 8
         counts = count_choices(make_chooser(), Candidates(centre=targets))
         self.assertLess(counts["t0"], 120)
 
-    def test_a_slow_server_gets_less(self) -> None:
+    def test_slow_server_gets_fewer_requests(self) -> None:
         targets = tuple(make_target(f"t{i}") for i in range(4))
         for target in targets:
             target.take_answer(2.0, False)
@@ -99,9 +101,9 @@
         counts = count_choices(make_chooser(), Candidates(centre=targets))
         self.assertLess(counts["t0"], 120)
 
-    def test_a_busy_server_is_passed_over_for_a_while(self) -> None:
+    def test_busy_server_is_skipped_until_backoff_ends(self) -> None:
         targets = (make_target("a"), make_target("b"))
-        targets[0].take_busy(0.0)
+        targets[0].back_off(0.0)
         chooser = make_chooser()
         candidates = Candidates(centre=targets)
         chosen = {chooser.choose(candidates, set(), 0.1, NOW_MS) for _ in range(50)}
@@ -111,7 +113,7 @@
 
 
 class SlowStartTest(unittest.TestCase):
-    def test_a_cold_server_gets_few_requests(self) -> None:
+    def test_cold_server_gets_few_requests(self) -> None:
         cold = make_target("cold", warm_at_ms=NOW_MS + 3000)
         targets = (cold, *(make_target(f"t{i}") for i in range(3)))
         for target in targets[1:]:
@@ -124,32 +126,32 @@
         weights = [target.weight(NOW_MS + after) for after in (-1, 0, 2500, 5000)]
         self.assertEqual(weights, [0.05, 0.05, 0.5, 1.0])
 
-    def test_a_cold_server_is_taken_when_it_is_the_only_one(self) -> None:
+    def test_only_server_is_chosen_although_cold(self) -> None:
         cold = make_target("cold", warm_at_ms=NOW_MS + 3000)
         counts = count_choices(make_chooser(), Candidates(centre=(cold,)), 5)
         self.assertEqual(counts, {"cold": 5})
 
 
 class EjectionTest(unittest.TestCase):
-    def test_failing_servers_are_ejected_but_never_more_than_half(self) -> None:
+    def test_at_most_half_of_failing_servers_are_ejected(self) -> None:
         targets = tuple(make_target(f"t{i}") for i in range(4))
         chooser = make_chooser()
         candidates = Candidates(centre=targets)
         for target in targets:
             for _ in range(3):
-                target.take_failure()
+                target.record_failure()
             chooser.take_failure(target, candidates, 0.0)
         ejected = [target for target in targets if not target.available(0.5)]
         self.assertEqual(len(ejected), 2)
 
-    def test_a_single_server_is_never_ejected(self) -> None:
+    def test_single_server_is_never_ejected(self) -> None:
         target = make_target("t")
         for _ in range(10):
-            target.take_failure()
+            target.record_failure()
         make_chooser().take_failure(target, Candidates(centre=(target,)), 0.0)
         self.assertTrue(target.available(0.0))
 
-    def test_the_time_doubles_and_ends(self) -> None:
+    def test_ejection_time_doubles_and_ends(self) -> None:
         target = make_target("t")
         target.eject(0.0)
         self.assertTrue(target.available(1.0))
@@ -157,7 +159,7 @@
         self.assertFalse(target.available(2.5))
         self.assertTrue(target.available(3.0))
 
-    def test_an_ejected_server_is_still_better_than_none(self) -> None:
+    def test_ejected_server_is_chosen_when_it_is_the_only_one(self) -> None:
         target = make_target("t")
         target.eject(0.0)
         candidates = Candidates(centre=(target,))
@@ -199,7 +201,7 @@
         self.members = FakeMembers(members)
         self.tables = CandidateTables(self.members)
 
-    def test_members_are_read_once_for_each_change_and_not_for_each_request(
+    def test_members_are_read_once_per_change_and_not_per_request(
         self,
     ) -> None:
         for index in range(1000):
@@ -209,13 +211,13 @@
         self.tables.find("s0", "r1", 10.0)
         self.assertEqual(self.members.reads, 2)
 
-    def test_a_herd_of_changes_rebuilds_at_intervals(self) -> None:
+    def test_burst_of_changes_rebuilds_at_intervals(self) -> None:
         for index in range(1000):
             self.tables.mark_stale()
             self.tables.find("s0", "r1", index * 0.001)
         self.assertLessEqual(self.members.reads, 11)
 
-    def test_a_release_that_was_not_known_is_looked_for_at_once(self) -> None:
+    def test_unknown_release_triggers_immediate_rebuild(self) -> None:
         self.tables.find("s0", "r1", 0.0)
         new = BackendServer("vm0/2", "s0", "r2", 2, 12, 110)
         first = self.members.members[0]
@@ -225,7 +227,7 @@
         self.tables.mark_stale()
         self.assertEqual(len(self.tables.find("s0", "r2", 0.01).own), 1)
 
-    def test_observations_outlive_a_rebuild_but_not_a_restart(self) -> None:
+    def test_statistics_are_kept_over_rebuild_but_not_over_restart(self) -> None:
         target = self.tables.find("s0", "r1", 0.0).centre[0]
         self.tables.mark_stale()
         self.assertIs(self.tables.find("s0", "r1", 1.0).centre[0], target)
--- a/tests/test_routing/test_drain.py
+++ b/tests/test_routing/test_drain.py
@@ -1,4 +1,4 @@
-"""Planned stops under load."""
+"""Tests of graceful shutdown and draining under load."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 if TYPE_CHECKING:
     import httpcore
 
-CEASE_S = 3.0
+DRAIN_NOTICE_S = 3.0
 
 
 class DrainTest(PathTestCase):
-    def test_a_node_that_stops_cuts_no_request(self) -> None:
-        self.run_async(self._stop_node, 40)
+    def test_stopping_node_interrupts_no_request(self) -> None:
+        self.run_async(self._check_node_stop, 40)
 
-    async def _stop_node(self) -> None:
+    async def _check_node_stop(self) -> None:
         await self.start_path(FIRST, SECOND, service_ms=50)
         for vm in (FIRST, SECOND):
             await self.mesh.set_backend_faults(vm, BackendFaults(delay_ms=100))
@@ -29,7 +29,7 @@
         stop = trio.Event()
         async with trio.open_nursery() as nursery:
             for index in range(16):
-                nursery.start_soon(self._call_steadily, f"c{index}", counts, stop)
+                nursery.start_soon(self._send_requests_until, f"c{index}", counts, stop)
             await trio.sleep(0.5)
             self.send_signal(SECOND, signal.SIGTERM)
             process = self.mesh.process(SECOND)
@@ -42,7 +42,7 @@
         events = (self.mesh.directory / f"{SECOND}.log").read_text()
         self.assertIn("has drained", events)
 
-    async def _call_steadily(
+    async def _send_requests_until(
         self, name: str, counts: collections.Counter[str], stop: trio.Event
     ) -> None:
         number = 0
@@ -51,10 +51,10 @@
             response = await self.post(FIRST, f"{name}/{number}")
             counts[f"{response.status} {outcome_of(response)}"] += 1
 
-    def test_a_caller_of_the_stopping_node_is_answered(self) -> None:
-        self.run_async(self._stop_entry, 40)
+    def test_caller_of_stopping_node_gets_response(self) -> None:
+        self.run_async(self._check_entry_stop, 40)
 
-    async def _stop_entry(self) -> None:
+    async def _check_entry_stop(self) -> None:
         await self.start_path(FIRST, SECOND)
         await self.mesh.set_backend_faults(SECOND, BackendFaults(delay_ms=600))
         responses: list[httpcore.Response] = []
@@ -72,14 +72,14 @@
         self.assertEqual(await self.runs_of("during", FIRST), 1)
         self.assertEqual(await self.runs_of("before", SECOND), 1)
 
-    def test_a_draining_backend_server_gets_nothing_new(self) -> None:
-        self.run_async(self._drain_backend, 40)
+    def test_draining_backend_server_gets_no_new_requests(self) -> None:
+        self.run_async(self._check_backend_drain, 40)
 
-    async def _drain_backend(self) -> None:
+    async def _check_backend_drain(self) -> None:
         await self.start_path(FIRST, SECOND)
         await self.mesh.set_backend_faults(SECOND, BackendFaults(draining=True))
         drained_at = trio.current_time()
-        while trio.current_time() < drained_at + CEASE_S:
+        while trio.current_time() < drained_at + DRAIN_NOTICE_S:
             for vm in (FIRST, SECOND):
                 self.assertEqual((await self.post(vm, "during")).status, 200)
             await trio.sleep(0.05)
--- a/tests/test_routing/test_entry.py
+++ b/tests/test_routing/test_entry.py
@@ -1,4 +1,4 @@
-"""What the entry node charges and tells, over a link of its own making."""
+"""Tests of byte counts and error reports of an entry node, with a fake stream."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from marigoldchute.errors import NotRunError, RequestError, ResultCode
 from marigoldchute.routing.call import Call
-from marigoldchute.routing.failure import truthful
+from marigoldchute.routing.failure import error_to_report
 from marigoldchute.routing.messages import ENCODER, ResponseHead
 
 
 class FakeStream:
-    """Stream on which the owner's answer has arrived."""
+    """Stream on which an owner's response has arrived."""
 
     def __init__(self, head: ResponseHead, chunks: list[bytes], whole: bool) -> None:
         self._head = ENCODER.encode(head)
@@ -58,34 +58,34 @@
     call = Call.__new__(Call)
     call.responder = FakeResponder()
     call.link_bytes = 0
-    call.maybe_run = False
+    call.may_have_run = False
     return call
 
 
 class LinkBytesTest(unittest.TestCase):
-    def test_the_bytes_of_an_answer_are_counted_however_it_arrives(self) -> None:
+    def test_response_bytes_are_counted_for_whole_and_streamed_bodies(self) -> None:
         for whole in (False, True):
             call = make_call()
             head = ResponseHead(200, b"a: b\r\n", True)
             stream = FakeStream(head, [b"12345", b"678"], whole)
-            trio.run(call.pass_answer, stream)
+            trio.run(call.forward_response, stream)
             self.assertEqual(call.link_bytes, 6 + 8)
             self.assertEqual(call.responder.body, b"12345678")
             self.assertTrue(call.responder.finished)
 
 
-class TruthTest(unittest.TestCase):
-    def test_a_refusal_after_a_try_that_may_have_run_is_unknown(self) -> None:
+class ErrorReportTest(unittest.TestCase):
+    def test_refusal_after_attempt_that_may_have_run_is_unknown(self) -> None:
         call = make_call()
         refusal = NotRunError("full", ResultCode.REQUEST_NOT_RUN_OVERLOADED)
-        self.assertIs(truthful(call, refusal), refusal)
-        call.maybe_run = True
-        told = truthful(call, refusal)
-        self.assertIsInstance(told, RequestError)
-        self.assertNotIsInstance(told, NotRunError)
+        self.assertIs(error_to_report(call, refusal), refusal)
+        call.may_have_run = True
+        reported = error_to_report(call, refusal)
+        self.assertIsInstance(reported, RequestError)
+        self.assertNotIsInstance(reported, NotRunError)
 
-    def test_an_owners_refusal_keeps_its_code(self) -> None:
+    def test_refusal_by_owner_keeps_its_code(self) -> None:
         head = ResponseHead(503, code=ResultCode.REQUEST_NOT_RUN_DRAINING)
         with self.assertRaises(NotRunError) as caught:
-            trio.run(make_call().pass_answer, FakeStream(head, [], True))
+            trio.run(make_call().forward_response, FakeStream(head, [], True))
         self.assertEqual(caught.exception.code, ResultCode.REQUEST_NOT_RUN_DRAINING)
--- a/tests/test_routing/test_failures.py
+++ b/tests/test_routing/test_failures.py
@@ -1,4 +1,4 @@
-"""Truth about execution over real processes."""
+"""Tests of reported outcomes when processes, links or responses fail."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class OwnerLossTest(PathTestCase):
-    def test_a_killed_owner_leaves_an_unknown_outcome_and_one_run(self) -> None:
-        self.run_async(self._kill, 40)
+    def test_killed_owner_gives_unknown_outcome_and_one_run(self) -> None:
+        self.run_async(self._check_killed_owner, 40)
 
-    async def _kill(self) -> None:
+    async def _check_killed_owner(self) -> None:
         await self.start_path(SECOND)
         await self.mesh.set_backend_faults(SECOND, BackendFaults(hang_share=1.0))
         responses = []
@@ -32,10 +32,10 @@
         self.assertEqual(responses[0].status, 502)
         self.assertEqual(await self.runs_of("k1", SECOND), 1)
 
-    def test_a_paused_owner_leaves_an_unknown_outcome_and_one_run(self) -> None:
-        self.run_async(self._pause, 40)
+    def test_paused_owner_gives_unknown_outcome_and_at_most_one_run(self) -> None:
+        self.run_async(self._check_paused_owner, 40)
 
-    async def _pause(self) -> None:
+    async def _check_paused_owner(self) -> None:
         await self.start_path(SECOND)
         self.send_signal(SECOND, signal.SIGSTOP)
         response = await self.post(FIRST, "k1", deadline_ms=500)
@@ -52,10 +52,10 @@
 class SilentLinkTest(PathTestCase):
     proxied = True
 
-    def test_a_silent_link_never_doubles_a_request_and_heals(self) -> None:
-        self.run_async(self._silence, 50)
+    def test_silent_link_never_duplicates_requests_and_recovers(self) -> None:
+        self.run_async(self._check_silent_link, 50)
 
-    async def _silence(self) -> None:
+    async def _check_silent_link(self) -> None:
         await self.start_path(SECOND)
         await self.mesh.set_faults(Rule(FIRST, SECOND, Action.DROP, both_ways=False))
         response = await self.post(FIRST, "out", deadline_ms=600)
@@ -79,64 +79,66 @@
         self.assertEqual(await self.runs_of("back", SECOND), 1)
 
 
-class LostAnswerTest(PathTestCase):
-    def test_answers_that_are_lost_cut_or_refused(self) -> None:
-        self.run_async(self._lose, 40)
+class LostResponseTest(PathTestCase):
+    def test_outcomes_of_lost_truncated_and_refused_responses(self) -> None:
+        self.run_async(self._check_lost_responses, 40)
 
-    async def _lose(self) -> None:
+    async def _check_lost_responses(self) -> None:
         await self.start_path(FIRST, SECOND)
-        with self.subTest("a lost answer is unknown and not tried again"):
-            await self._set_both(BackendFaults(drop_share=1.0))
+        with self.subTest("a lost response is unknown and not retried"):
+            await self._set_faults_on_both(BackendFaults(drop_share=1.0))
             for vm in (FIRST, SECOND):
                 response = await self.post(vm, f"drop {vm}")
                 self.assertEqual(outcome_of(response), "unknown")
                 runs = await self.runs_of(f"drop {vm}", FIRST, SECOND)
                 self.assertEqual(runs, 1)
-        with self.subTest("an idempotent request is tried elsewhere"):
+        with self.subTest("an idempotent request is retried elsewhere"):
             await self.mesh.set_backend_faults(SECOND, BackendFaults())
             url = self.caller_url(FIRST, "/reservas/1")
             async with httpcore.AsyncConnectionPool() as pool:
                 for _ in range(5):
                     self.assertEqual((await pool.request("GET", url)).status, 200)
-        with self.subTest("a refusal before the run is tried elsewhere"):
+        with self.subTest("a request refused before it ran is retried elsewhere"):
             await self.mesh.set_backend_faults(FIRST, BackendFaults(refuse_share=1.0))
             response = await self.post(FIRST, "refused")
             self.assertEqual(response.status, 200)
             self.assertEqual(await self.runs_of("refused", FIRST, SECOND), 1)
-        with self.subTest("refusals everywhere are not run"):
-            await self._set_both(BackendFaults(refuse_share=1.0))
+        with self.subTest("a request refused everywhere is reported as not run"):
+            await self._set_faults_on_both(BackendFaults(refuse_share=1.0))
             response = await self.post(FIRST, "all")
             self.assertEqual((response.status, outcome_of(response)), (503, "not-run"))
             self.assertEqual(await self.runs_of("all", FIRST, SECOND), 0)
-        with self.subTest("a cut answer is an error of the caller's client"):
-            await self._set_both(BackendFaults(cut_share=1.0))
+        with self.subTest(
+            "a truncated response raises an error in the caller's client"
+        ):
+            await self._set_faults_on_both(BackendFaults(cut_share=1.0))
             for vm in (FIRST, SECOND):
                 with self.assertRaises((httpcore.ReadError, httpcore.ProtocolError)):
                     await self.post(vm, f"cut {vm}")
                 runs = await self.runs_of(f"cut {vm}", FIRST, SECOND)
                 self.assertEqual(runs, 1)
 
-    async def _set_both(self, faults: BackendFaults) -> None:
+    async def _set_faults_on_both(self, faults: BackendFaults) -> None:
         for vm in (FIRST, SECOND):
             await self.mesh.set_backend_faults(vm, faults)
 
 
 class CancelTest(PathTestCase):
-    def test_a_caller_that_leaves_and_a_deadline_cancel_the_work(self) -> None:
-        self.run_async(self._cancel, 40)
+    def test_closed_caller_connection_or_deadline_cancels_request(self) -> None:
+        self.run_async(self._check_cancellation, 40)
 
-    async def _cancel(self) -> None:
+    async def _check_cancellation(self) -> None:
         await self.start_path(SECOND)
         await self.mesh.set_backend_faults(SECOND, BackendFaults(hang_share=1.0))
         for number, vm in enumerate((FIRST, SECOND), start=1):
-            with self.subTest("the caller leaves", entry=vm):
+            with self.subTest("caller closes its connection", entry=vm):
                 with trio.move_on_after(0.4):
                     await self.post(vm, f"left {vm}")
                 await self.wait_for_state(
                     SECOND, lambda s, n=number: s.cancelled == n and s.running == 0, 2
                 )
         for number, vm in enumerate((FIRST, SECOND), start=3):
-            with self.subTest("the deadline passes", entry=vm):
+            with self.subTest("deadline passes", entry=vm):
                 start = trio.current_time()
                 response = await self.post(vm, f"late {vm}", deadline_ms=300)
                 self.assertLess(trio.current_time() - start, 2.0)
@@ -147,10 +149,10 @@
 
 
 class InternalServiceTest(PathTestCase):
-    def test_internal_services_are_reached_from_backend_servers_only(self) -> None:
-        self.run_async(self._internal, 30)
+    def test_internal_services_are_reachable_from_backend_servers_only(self) -> None:
+        self.run_async(self._check_internal_service, 30)
 
-    async def _internal(self) -> None:
+    async def _check_internal_service(self) -> None:
         await self.start_path(FIRST)
         address = self.mesh.vm(FIRST).address
         async with httpcore.AsyncConnectionPool() as pool:
@@ -163,10 +165,10 @@
 
 
 class UploadTest(PathTestCase):
-    def test_a_large_upload_streams_and_never_sits_in_memory_whole(self) -> None:
-        self.run_async(self._upload, 40)
+    def test_large_upload_is_streamed_without_buffering_it_whole(self) -> None:
+        self.run_async(self._check_upload, 40)
 
-    async def _upload(self) -> None:
+    async def _check_upload(self) -> None:
         await self.start_path(SECOND)
         size = 50_000_000
         before = {vm: self._peak_kb(vm) for vm in (FIRST, SECOND)}
--- a/tests/test_routing/test_least_time.py
+++ b/tests/test_routing/test_least_time.py
@@ -1,4 +1,4 @@
-"""Where work goes: the server from which an answer is expected first."""
+"""Tests of LeastExpectedTime and of the retry budget of all nodes."""
 
 from __future__ import annotations
 
@@ -12,60 +12,60 @@
 from marigoldchute.routing.least_time import LeastExpectedTime
 from tests.test_routing.test_choice import NOW_MS, make_target
 
-WISH = Wish("r", 0.6)
+PICK_INFO = Wish("r", 0.6)
 
 
 def choose(chooser: LeastExpectedTime, candidates: Candidates, now: float = 0.0) -> str:
-    target = chooser.choose(candidates, set(), now, NOW_MS, WISH)
+    target = chooser.choose(candidates, set(), now, NOW_MS, PICK_INFO)
     return target.member.name if target is not None else ""
 
 
 class UnevenLoadTest(unittest.TestCase):
-    """One zone is busy while the other side of the link has room."""
+    """One region is loaded while servers across the link have free slots."""
 
     def setUp(self) -> None:
         self.near = [make_target(f"near{i}") for i in range(2)]
-        self.far = [make_target(f"far{i}", "limon") for i in range(2)]
-        self.candidates = Candidates((), tuple(self.near), (), tuple(self.far))
+        self.remote = [make_target(f"far{i}", "limon") for i in range(2)]
+        self.candidates = Candidates((), tuple(self.near), (), tuple(self.remote))
         self.chooser = LeastExpectedTime(random.Random(1))
-        for target in (*self.near, *self.far):
-            self.chooser.take_run(target, "r", 200.0)
+        for target in (*self.near, *self.remote):
+            self.chooser.record_run_time(target, "r", 200.0)
 
-    def test_near_servers_are_taken_while_they_answer_in_time(self) -> None:
+    def test_near_servers_are_chosen_while_they_meet_the_objective(self) -> None:
         for target in self.near:
-            target.take_load(12, 0.0)
+            target.record_load(12, 0.0)
         chosen = {choose(self.chooser, self.candidates) for _ in range(50)}
         self.assertLessEqual(chosen, {"near0", "near1"})
 
-    def test_far_servers_are_taken_once_near_ones_would_be_late(self) -> None:
+    def test_remote_servers_are_chosen_when_near_ones_miss_the_objective(self) -> None:
         for target in self.near:
-            target.take_load(36, 0.0)
+            target.record_load(36, 0.0)
         chosen = {choose(self.chooser, self.candidates) for _ in range(50)}
         self.assertLessEqual(chosen, {"far0", "far1"})
 
-    def test_far_servers_with_the_same_queue_are_not(self) -> None:
-        for target in (*self.near, *self.far):
-            target.take_load(36, 0.0)
+    def test_remote_servers_with_equal_queue_are_not_chosen(self) -> None:
+        for target in (*self.near, *self.remote):
+            target.record_load(36, 0.0)
         chosen = {choose(self.chooser, self.candidates) for _ in range(50)}
         self.assertLessEqual(chosen, {"near0", "near1"})
 
-    def test_what_others_had_there_is_forgotten_with_time(self) -> None:
+    def test_reported_load_decays_with_time(self) -> None:
         for target in self.near:
-            target.take_load(36, 0.0)
+            target.record_load(36, 0.0)
         self.assertIn(choose(self.chooser, self.candidates, 5.0), {"near0", "near1"})
 
-    def test_the_faster_server_gets_more(self) -> None:
+    def test_faster_server_gets_more_requests(self) -> None:
         for _ in range(30):
-            self.chooser.take_run(self.near[0], "r", 300.0)
-            self.chooser.take_run(self.near[1], "r", 100.0)
+            self.chooser.record_run_time(self.near[0], "r", 300.0)
+            self.chooser.record_run_time(self.near[1], "r", 100.0)
         counts = collections.Counter(
             choose(self.chooser, self.candidates) for _ in range(100)
         )
         self.assertGreater(counts["near1"], 90)
 
 
-class CalmDayTest(unittest.TestCase):
-    """Each data centre has room; a hop to another one is paid for."""
+class TypicalLoadTest(unittest.TestCase):
+    """Each data centre has free slots; traffic to another one costs money."""
 
     def setUp(self) -> None:
         self.own = make_target("own")
@@ -73,50 +73,50 @@
         self.candidates = Candidates((), (self.own,), self.others, ())
         self.chooser = LeastExpectedTime(random.Random(1))
         for target in (self.own, *self.others):
-            self.chooser.take_run(target, "r", 200.0)
+            self.chooser.record_run_time(target, "r", 200.0)
 
-    def test_the_own_data_centre_serves_while_it_has_room(self) -> None:
-        self.own.take_load(self.own.server.slots // 3, 0.0)
+    def test_own_data_centre_is_chosen_while_it_has_free_slots(self) -> None:
+        self.own.record_load(self.own.server.slots // 3, 0.0)
         chosen = [choose(self.chooser, self.candidates) for _ in range(50)]
         self.assertEqual(set(chosen), {"own"})
 
-    def test_another_one_does_before_requests_wait(self) -> None:
-        self.own.take_load(self.own.server.slots + 2, 0.0)
+    def test_other_data_centre_is_chosen_before_requests_wait(self) -> None:
+        self.own.record_load(self.own.server.slots + 2, 0.0)
         chosen = {choose(self.chooser, self.candidates) for _ in range(50)}
         self.assertNotIn("own", chosen)
 
 
-class SickServerTest(unittest.TestCase):
-    """One server fails half of its answers while its health is said to be good."""
+class FaultyServerTest(unittest.TestCase):
+    """One server returns errors for half of its requests but reports good health."""
 
     def setUp(self) -> None:
         self.targets = tuple(make_target(f"t{i}") for i in range(4))
         self.candidates = Candidates(centre=self.targets)
         self.chooser = LeastExpectedTime(random.Random(1))
 
-    def fail(self, target, times: int) -> None:  # type: ignore[no-untyped-def]
+    def send_half_failing(self, target, times: int) -> None:  # type: ignore[no-untyped-def]
         for index in range(times):
             target.take_answer(10.0, index % 2 == 0)
             self.chooser.take_failure(target, self.candidates, 1.0)
 
-    def test_it_is_ejected_and_the_others_are_not(self) -> None:
-        self.fail(self.targets[0], 20)
+    def test_faulty_server_is_ejected_and_others_are_not(self) -> None:
+        self.send_half_failing(self.targets[0], 20)
         self.assertGreater(self.targets[0].ejected_until, 1.0)
         chosen = {choose(self.chooser, self.candidates, 1.1) for _ in range(50)}
         self.assertNotIn("t0", chosen)
 
-    def test_when_all_fail_alike_none_is_ejected(self) -> None:
+    def test_at_most_one_is_ejected_when_all_fail_equally(self) -> None:
         for _ in range(20):
             for target in self.targets:
-                self.fail(target, 2)
+                self.send_half_failing(target, 2)
         ejected = sum(target.ejected_until > 1.0 for target in self.targets)
         self.assertLessEqual(ejected, 1)
 
 
 class RetryStormTest(unittest.TestCase):
-    """Every request fails: repeats of all nodes together stay within the budget."""
+    """Every request fails on all nodes."""
 
-    def test_no_window_exceeds_the_shared_budget(self) -> None:
+    def test_retries_of_all_nodes_stay_within_budget_in_every_window(self) -> None:
         nodes, share, slack, window_s = 12, 0.2, 56.0, 10.0
         rng = random.Random(3)
         budgets = [
@@ -129,13 +129,13 @@
         while now < 40.0:
             now += rng.expovariate(160.0)
             budget = rng.choice(budgets)
-            budget.add_request(now, "turnos")
+            budget.record_request(now, "turnos")
             requests.append(now)
-            if budget.take_retry(now, "turnos"):
+            if budget.acquire_retry(now, "turnos"):
                 retries.append(now)
         self.assertGreater(len(retries), 500)
         for start in range(0, 30):
             span = (start, start + window_s)
-            made = sum(span[0] <= at < span[1] for at in retries)
-            asked = sum(span[0] <= at < span[1] for at in requests)
-            self.assertLessEqual(made, share * asked + slack)
+            retry_count = sum(span[0] <= at < span[1] for at in retries)
+            request_count = sum(span[0] <= at < span[1] for at in requests)
+            self.assertLessEqual(retry_count, share * request_count + slack)
--- a/tests/test_routing/test_metrics.py
+++ b/tests/test_routing/test_metrics.py
@@ -1,4 +1,4 @@
-"""Histograms of the request path."""
+"""Tests of the latency histograms of the request path."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ManyRoutesTest(unittest.TestCase):
-    def test_rare_routes_share_a_histogram_once_there_are_many(self) -> None:
+    def test_routes_beyond_histogram_limit_share_one(self) -> None:
         metrics = RouteMetrics()
         for index in range(5 * MAX_HISTOGRAMS):
             metrics.record(f"r{index}", "ok", 100)
--- a/tests/test_routing/test_overload.py
+++ b/tests/test_routing/test_overload.py
@@ -1,4 +1,4 @@
-"""Loads at which a backend server cannot run all that is asked of it."""
+"""Tests of admission when requests exceed a backend server's capacity."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from marigoldchute.errors import NotRunError
 from marigoldchute.membership.model import BackendServer
-from marigoldchute.routing.admission import QUEUE_PER_SLOT, AdmissionGate
+from marigoldchute.routing.admission import MAX_QUEUED_PER_SLOT, AdmissionGate
 
 SLOTS = 6
 RUN_S = 0.22
@@ -18,60 +18,60 @@
 DEADLINE_S = 1.5
 
 
-class Load:
-    """Requests that arrive at random at one gate, in simulated time."""
+class LoadGenerator:
+    """Generates requests with random arrival times at one gate, in simulated time."""
 
-    def __init__(self, per_s: float, seconds: float, seed: int) -> None:
+    def __init__(self, requests_per_s: float, duration_s: float, seed: int) -> None:
         self.gate = AdmissionGate(
             BackendServer("v/1", "s", "r1", 1, SLOTS, 100), adaptive=False
         )
         self.rng = random.Random(seed)
         self.in_time = self.late = self.refused = 0
         self.slowest_refusal_s = 0.0
-        self._per_s = per_s
-        self._seconds = seconds
+        self._requests_per_s = requests_per_s
+        self._duration_s = duration_s
 
     def run(self) -> None:
-        trio.run(self._run, clock=trio.testing.MockClock(autojump_threshold=0))
+        trio.run(self._generate, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    async def _run(self) -> None:
+    async def _generate(self) -> None:
         async with trio.open_nursery() as nursery:
-            while trio.current_time() < self._seconds:
-                await trio.sleep(self.rng.expovariate(self._per_s))
-                nursery.start_soon(self._ask, trio.current_time())
+            while trio.current_time() < self._duration_s:
+                await trio.sleep(self.rng.expovariate(self._requests_per_s))
+                nursery.start_soon(self._send_request, trio.current_time())
 
-    async def _ask(self, asked_at: float) -> None:
+    async def _send_request(self, sent_at: float) -> None:
         try:
-            if not self.gate.try_enter():
-                await self.gate.enter(1, DEADLINE_S, OBJECTIVE_S)
+            if not self.gate.try_acquire_slot():
+                await self.gate.acquire_slot(1, DEADLINE_S, OBJECTIVE_S)
         except NotRunError:
             self.refused += 1
-            waited_s = trio.current_time() - asked_at
+            waited_s = trio.current_time() - sent_at
             self.slowest_refusal_s = max(self.slowest_refusal_s, waited_s)
             return
         run_s = self.rng.lognormvariate(-0.125, 0.5) * RUN_S
         running = self.gate.running
         await trio.sleep(run_s)
-        self.gate.take_sample(run_s, running, trio.current_time())
-        self.gate.leave()
-        if trio.current_time() - asked_at <= OBJECTIVE_S:
+        self.gate.record_sample(run_s, running, trio.current_time())
+        self.gate.release_slot()
+        if trio.current_time() - sent_at <= OBJECTIVE_S:
             self.in_time += 1
         else:
             self.late += 1
 
 
 class SustainedOverloadTest(unittest.TestCase):
-    """A third more is asked than can run, for as long as it takes queues to fill."""
+    """Load exceeds capacity by a third for long enough to fill the queues."""
 
-    def test_what_is_admitted_is_answered_in_time_and_no_slot_idles(self) -> None:
-        load = Load(1.33 * SLOTS / RUN_S, 60.0, 5)
+    def test_admitted_requests_meet_objective_and_slots_stay_busy(self) -> None:
+        load = LoadGenerator(1.33 * SLOTS / RUN_S, 60.0, 5)
         load.run()
-        answered = load.in_time + load.late
-        self.assertGreater(load.in_time, 0.9 * answered)
-        self.assertGreater(answered, 0.95 * 60.0 * SLOTS / RUN_S)
+        completed = load.in_time + load.late
+        self.assertGreater(load.in_time, 0.9 * completed)
+        self.assertGreater(completed, 0.95 * 60.0 * SLOTS / RUN_S)
 
-    def test_what_is_refused_is_refused_at_once(self) -> None:
-        load = Load(1.33 * SLOTS / RUN_S, 60.0, 6)
+    def test_refused_requests_are_refused_at_once(self) -> None:
+        load = LoadGenerator(1.33 * SLOTS / RUN_S, 60.0, 6)
         load.run()
         self.assertGreater(load.refused, 100)
         self.assertLess(load.slowest_refusal_s, OBJECTIVE_S / 8)
@@ -80,41 +80,41 @@
 class ModerateLoadTest(unittest.TestCase):
     """Four fifths of the slots are in use on average."""
 
-    def test_nearly_nothing_is_refused(self) -> None:
-        load = Load(0.8 * SLOTS / RUN_S, 60.0, 7)
+    def test_almost_no_request_is_refused(self) -> None:
+        load = LoadGenerator(0.8 * SLOTS / RUN_S, 60.0, 7)
         load.run()
-        asked = load.in_time + load.late + load.refused
-        self.assertLess(load.refused, 0.01 * asked)
+        sent = load.in_time + load.late + load.refused
+        self.assertLess(load.refused, 0.01 * sent)
 
 
-class StarvedClassTest(unittest.TestCase):
-    """More urgent requests come in a burst behind less urgent ones that wait."""
+class OvertakenRequestTest(unittest.TestCase):
+    """A burst of higher priority arrives while lower-priority requests wait."""
 
-    def test_who_is_overtaken_is_refused_while_a_return_is_worth_it(self) -> None:
+    def test_overtaken_request_is_refused_early_enough_to_retry(self) -> None:
         run = trio.testing.MockClock(autojump_threshold=0)
-        trio.run(self._overtake, clock=run)
+        trio.run(self._check_overtaken_request, clock=run)
 
-    async def _overtake(self) -> None:
+    async def _check_overtaken_request(self) -> None:
         gate = AdmissionGate(
             BackendServer("v/1", "s", "r1", 1, SLOTS, 100), adaptive=False
         )
         for _ in range(100):
-            gate.take_sample(RUN_S, 1, 0.0)
+            gate.record_sample(RUN_S, 1, 0.0)
         for _ in range(SLOTS):
-            self.assertTrue(gate.try_enter())
-        waited: list[float] = []
+            self.assertTrue(gate.try_acquire_slot())
+        refused_after_s: list[float] = []
 
-        async def wait_last() -> None:
+        async def wait_in_lowest_class() -> None:
             with self.assertRaises(NotRunError):
-                await gate.enter(2, 2 * OBJECTIVE_S, OBJECTIVE_S)
-            waited.append(trio.current_time())
+                await gate.acquire_slot(2, 2 * OBJECTIVE_S, OBJECTIVE_S)
+            refused_after_s.append(trio.current_time())
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(wait_last)
+            nursery.start_soon(wait_in_lowest_class)
             await trio.testing.wait_all_tasks_blocked()
-            for _ in range(QUEUE_PER_SLOT * SLOTS - 1):
-                nursery.start_soon(gate.enter, 0, 60.0, 60.0)
+            for _ in range(MAX_QUEUED_PER_SLOT * SLOTS - 1):
+                nursery.start_soon(gate.acquire_slot, 0, 60.0, 60.0)
             await trio.sleep(2 * OBJECTIVE_S)
             nursery.cancel_scope.cancel()
-        self.assertEqual(len(waited), 1)
-        self.assertLess(waited[0], OBJECTIVE_S / 8)
+        self.assertEqual(len(refused_after_s), 1)
+        self.assertLess(refused_after_s[0], OBJECTIVE_S / 8)
--- a/tests/test_routing/test_owner.py
+++ b/tests/test_routing/test_owner.py
@@ -1,4 +1,4 @@
-"""Truth about execution at the owner of a backend server."""
+"""Tests of outcomes and connection handling at the owner."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
     Script = Callable[[trio.SocketStream], Awaitable[None]]
 
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 class FakeServers:
@@ -33,7 +33,7 @@
 
 
 class CollectingExchange:
-    """Exchange that keeps what the owner sends."""
+    """Exchange that stores what the owner sends."""
 
     def __init__(self) -> None:
         self.head: ResponseHead | None = None
@@ -84,7 +84,7 @@
 
     slots = 4
 
-    def run_with(
+    def run_owner(
         self, script: Script, body: Callable[[Owner], Awaitable[None]]
     ) -> None:
         async def main() -> None:
@@ -99,7 +99,7 @@
 
 
 class NotRunTest(OwnerTestCase):
-    def test_a_backend_servers_own_refusal_is_not_run(self) -> None:
+    def test_refusal_by_backend_server_is_not_run(self) -> None:
         async def refuse(stream: trio.SocketStream) -> None:
             while await read_request(stream):
                 await stream.send_all(
@@ -114,9 +114,9 @@
             self.assertIsNone(exchange.head)
             self.assertEqual(owner.running, 0)
 
-        self.run_with(refuse, body)
+        self.run_owner(refuse, body)
 
-    def test_an_error_answer_without_the_header_is_an_answer(self) -> None:
+    def test_error_without_not_run_header_is_forwarded(self) -> None:
         async def fail(stream: trio.SocketStream) -> None:
             await read_request(stream)
             await stream.send_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
@@ -127,9 +127,9 @@
             assert exchange.head is not None
             self.assertEqual(exchange.head.status, 503)
 
-        self.run_with(fail, body)
+        self.run_owner(fail, body)
 
-    def test_a_refused_connection_is_not_run(self) -> None:
+    def test_refused_connection_is_not_run(self) -> None:
         async def main() -> None:
             owner = Owner(FakeServers("127.9.9.9"), "127.9.9.9")
             with self.assertRaises(NotRunError):
@@ -138,7 +138,7 @@
 
         trio.run(main)
 
-    def test_a_draining_owner_admits_nothing(self) -> None:
+    def test_draining_owner_refuses_requests(self) -> None:
         async def main() -> None:
             owner = Owner(FakeServers("127.9.9.9"), "127.9.9.9")
             owner.drain()
@@ -150,8 +150,8 @@
         trio.run(main)
 
 
-class UnknownTest(OwnerTestCase):
-    def test_a_written_request_without_an_answer_is_unknown(self) -> None:
+class UnknownOutcomeTest(OwnerTestCase):
+    def test_written_request_without_response_is_unknown(self) -> None:
         async def close(stream: trio.SocketStream) -> None:
             await read_request(stream)
 
@@ -160,24 +160,24 @@
                 await owner.execute(make_head(), CollectingExchange())
             self.assertNotIsInstance(caught.exception, NotRunError)
 
-        self.run_with(close, body)
+        self.run_owner(close, body)
 
-    def test_a_cut_answer_is_never_finished(self) -> None:
-        answers = (
+    def test_truncated_response_is_never_finished(self) -> None:
+        responses = (
             b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n0\r\n",
             b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nclose-delimited",
             b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n",
         )
-        for answer in answers:
-            with self.subTest(answer):
-                self._cut(answer)
+        for response in responses:
+            with self.subTest(response):
+                self._check_truncated_response(response)
 
-    def _cut(self, answer: bytes) -> None:
-        async def cut(stream: trio.SocketStream) -> None:
+    def _check_truncated_response(self, response: bytes) -> None:
+        async def send_truncated(stream: trio.SocketStream) -> None:
             await read_request(stream)
-            await stream.send_all(answer)
+            await stream.send_all(response)
 
         async def body(owner: Owner) -> None:
             exchange = CollectingExchange()
@@ -187,18 +187,18 @@
             self.assertFalse(exchange.finished)
             await owner.wait_idle()
 
-        self.run_with(cut, body)
+        self.run_owner(send_truncated, body)
 
 
-class ReuseTest(OwnerTestCase):
-    def test_whole_answers_reuse_their_connection(self) -> None:
+class ConnectionReuseTest(OwnerTestCase):
+    def test_connection_is_reused_after_complete_response(self) -> None:
         connections = 0
 
         async def serve(stream: trio.SocketStream) -> None:
             nonlocal connections
             connections += 1
             while await read_request(stream):
-                await stream.send_all(OK)
+                await stream.send_all(OK_RESPONSE)
 
         async def body(owner: Owner) -> None:
             for _ in range(5):
@@ -207,9 +207,9 @@
                 self.assertEqual(exchange.body, b"ok")
             self.assertEqual(connections, 1)
 
-        self.run_with(serve, body)
+        self.run_owner(serve, body)
 
-    def test_a_late_answer_never_reaches_another_request(self) -> None:
+    def test_late_response_never_reaches_another_request(self) -> None:
         async def serve(stream: trio.SocketStream) -> None:
             while request := await read_request(stream):
                 path = request.split()[1]
@@ -229,12 +229,12 @@
                 self.assertEqual(exchange.body, b"/fast")
                 await trio.sleep(0.02)
 
-        self.run_with(serve, body)
+        self.run_owner(serve, body)
 
-    def test_bytes_behind_an_answer_end_the_connection(self) -> None:
+    def test_extra_bytes_after_response_close_connection(self) -> None:
         async def serve(stream: trio.SocketStream) -> None:
             while await read_request(stream):
-                await stream.send_all(OK + OK.replace(b"ok", b"no"))
+                await stream.send_all(OK_RESPONSE + OK_RESPONSE.replace(b"ok", b"no"))
 
         async def body(owner: Owner) -> None:
             for _ in range(3):
@@ -242,28 +242,28 @@
                 await owner.execute(make_head(), exchange)
                 self.assertEqual(exchange.body, b"ok")
 
-        self.run_with(serve, body)
+        self.run_owner(serve, body)
 
-    def test_an_idle_connection_that_was_closed_is_not_reused(self) -> None:
+    def test_closed_idle_connection_is_not_reused(self) -> None:
         async def serve(stream: trio.SocketStream) -> None:
             await read_request(stream)
-            await stream.send_all(OK)
+            await stream.send_all(OK_RESPONSE)
 
         async def body(owner: Owner) -> None:
             for _ in range(3):
                 await owner.execute(make_head(), CollectingExchange())
                 await trio.sleep(0.02)
 
-        self.run_with(serve, body)
+        self.run_owner(serve, body)
 
-    def test_non_idempotent_requests_avoid_connections_idle_for_long(self) -> None:
+    def test_non_idempotent_request_avoids_long_idle_connection(self) -> None:
         connections = 0
 
         async def serve(stream: trio.SocketStream) -> None:
             nonlocal connections
             connections += 1
             while await read_request(stream):
-                await stream.send_all(OK)
+                await stream.send_all(OK_RESPONSE)
 
         async def body(owner: Owner) -> None:
             await owner.execute(make_head(), CollectingExchange())
@@ -277,13 +277,13 @@
         limit_s = backend_conn.IDLE_REUSE_NON_IDEMPOTENT_S
         backend_conn.IDLE_REUSE_NON_IDEMPOTENT_S = 0.03
         try:
-            self.run_with(serve, body)
+            self.run_owner(serve, body)
         finally:
             backend_conn.IDLE_REUSE_NON_IDEMPOTENT_S = limit_s
 
 
 class FakeStream:
-    """Stream of an entry node that has given up already."""
+    """Stream of an entry node that has already cancelled its request."""
 
     head = ENCODER.encode(make_head())
 
@@ -295,13 +295,13 @@
 
 
 class LateRequestTest(OwnerTestCase):
-    def test_a_request_that_arrives_after_its_cancellation_is_not_run(self) -> None:
+    def test_request_cancelled_before_arrival_is_not_run(self) -> None:
         requests = []
 
         async def serve(stream: trio.SocketStream) -> None:
             while request := await read_request(stream):
                 requests.append(request)
-                await stream.send_all(OK)
+                await stream.send_all(OK_RESPONSE)
 
         async def body(owner: Owner) -> None:
             await owner.execute(make_head(), CollectingExchange())
@@ -309,22 +309,22 @@
             await trio.sleep(0.05)
             self.assertEqual(len(requests), 1)
 
-        self.run_with(serve, body)
+        self.run_owner(serve, body)
 
 
-class AbandonTest(OwnerTestCase):
+class AbandonedRequestTest(OwnerTestCase):
     slots = 1
 
-    def test_a_given_up_request_is_cancelled_and_holds_its_slot_until_then(
+    def test_abandoned_request_keeps_its_slot_until_cancelled(
         self,
     ) -> None:
         cancelled = trio.Event()
 
         async def serve(stream: trio.SocketStream) -> None:
             if (await read_request(stream)).split()[1] != b"/hang":
-                await stream.send_all(OK)
+                await stream.send_all(OK_RESPONSE)
                 return
-            await stream.receive_some(1)  # Returns when the node gives up.
+            await stream.receive_some(1)  # Returns when the node closes the connection.
             cancelled.set()
             await trio.sleep(0.1)
 
@@ -338,4 +338,4 @@
             self.assertGreater(trio.current_time() - start, 0.05)
             self.assertEqual(owner.running, 0)
 
-        self.run_with(serve, body)
+        self.run_owner(serve, body)
--- a/tests/test_routing/test_route_table.py
+++ b/tests/test_routing/test_route_table.py
@@ -1,4 +1,4 @@
-"""Route lookup, sticky choice of the release and budgets."""
+"""Tests of route lookup, sticky release choice, budgets and headers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RouteTableTest(unittest.TestCase):
-    def test_the_longest_prefix_wins(self) -> None:
+    def test_longest_prefix_is_found(self) -> None:
         table = make_table("/", "/turnos", "/turnos/altas")
         cases = [(b"/x", "/"), (b"/turnos/1", "/turnos")]
         cases += [(b"/turnos/altas/2?x=/", "/turnos/altas")]
@@ -37,28 +37,28 @@
                 assert entry is not None
                 self.assertEqual(entry.route.path_prefix, prefix)
 
-    def test_no_route(self) -> None:
+    def test_unmatched_path_finds_no_route(self) -> None:
         self.assertIsNone(make_table("/turnos").find(b"/reservas"))
 
-    def test_the_query_is_no_part_of_the_path(self) -> None:
+    def test_query_is_ignored(self) -> None:
         self.assertIsNone(make_table("/turnos?x").find(b"/turnos?x=1"))
 
 
 class StickyTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(st.binary(max_size=40), st.floats(0, 1), st.floats(0, 1))
-    def test_a_key_that_moved_stays_moved_as_the_share_grows(
-        self, value: bytes, one: float, other: float
+    def test_key_keeps_new_release_as_share_grows(
+        self, value: bytes, first: float, second: float
     ) -> None:
         point = sticky_point("m1", value)
-        low, high = sorted((one, other))
+        low, high = sorted((first, second))
         if point < low:
             self.assertLess(point, high)
 
-    def test_keys_spread_evenly_and_differ_by_move(self) -> None:
+    def test_points_of_keys_are_uniform_and_independent_between_moves(self) -> None:
         keys = [str(i).encode() for i in range(10_000)]
-        moved = sum(sticky_point("m1", key) < 0.1 for key in keys)
-        self.assertAlmostEqual(moved / len(keys), 0.1, delta=0.015)
+        assigned = sum(sticky_point("m1", key) < 0.1 for key in keys)
+        self.assertAlmostEqual(assigned / len(keys), 0.1, delta=0.015)
         both = sum(
             sticky_point("m1", key) < 0.1 and sticky_point("m2", key) < 0.1
             for key in keys
@@ -66,23 +66,23 @@
         self.assertLess(both / len(keys), 0.03)
 
 
-class BudgetTest(unittest.TestCase):
-    def test_retries_are_a_share_of_requests(self) -> None:
+class RetryBudgetTest(unittest.TestCase):
+    def test_retries_are_limited_to_ratio_of_requests(self) -> None:
         budget = RetryBudget(0.2, 1.0, 5.0)
         allowed = 0
         for _ in range(1000):
-            budget.add_request()
-            allowed += budget.take_retry(1.0)
+            budget.record_request()
+            allowed += budget.acquire_retry(1.0)
         self.assertLessEqual(allowed, 0.2 * 1000 + 5 + 1)
         self.assertGreater(allowed, 150)
 
-    def test_a_quiet_node_may_retry(self) -> None:
+    def test_node_with_few_requests_may_retry(self) -> None:
         budget = RetryBudget(0.2, 1.0, 0.0)
-        self.assertTrue(budget.take_retry(1.0))
-        self.assertFalse(budget.take_retry(1.5))
-        self.assertTrue(budget.take_retry(3.0))
+        self.assertTrue(budget.acquire_retry(1.0))
+        self.assertFalse(budget.acquire_retry(1.5))
+        self.assertTrue(budget.acquire_retry(3.0))
 
-    def test_a_bucket_charged_too_much_recovers_with_time(self) -> None:
+    def test_overdrawn_bucket_recovers_with_time(self) -> None:
         bucket = TokenBucket(10.0, 10.0)
         bucket.charge(30.0, 0.0)
         self.assertFalse(bucket.has_tokens(1.0))
@@ -90,7 +90,7 @@
 
 
 class HeaderTest(unittest.TestCase):
-    def test_hop_headers_and_nominated_ones_are_dropped(self) -> None:
+    def test_hop_by_hop_headers_are_removed(self) -> None:
         block = request_block(
             [
                 (b"host", b"a"),
@@ -103,7 +103,7 @@
         )
         self.assertEqual(block, b"host: a\r\ncontent-length: 5\r\n")
 
-    def test_deadline_header(self) -> None:
+    def test_deadline_header_is_parsed_or_ignored(self) -> None:
         cases = [(None, None), (b"250", 250), (b"-1", None), (b"x", None)]
         cases.append((b"9" * 40, None))
         for value, expected in cases:
--- a/tests/test_routing/test_tries.py
+++ b/tests/test_routing/test_tries.py
@@ -1,4 +1,4 @@
-"""Tries of one request at the entry node: repeats, failures that are kept, refusals."""
+"""Tests of attempts at the entry node: retries, retained errors and refusals."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 class FakeSink:
     def record(self, *args: object) -> None:
-        """Take an outcome."""
+        """Ignore an outcome."""
 
 
 class FakeResponder:
@@ -88,7 +88,7 @@
 
 
 class FakeOwner:
-    """Runs requests by a script, one entry a try."""
+    """Runs requests by a script with one result for each attempt."""
 
     remaining_ms = 0
 
@@ -100,49 +100,49 @@
         await trio.lowlevel.checkpoint()
         self.servers.append(head.server_id)
         self.remaining_ms = head.remaining_ms
-        step = self.script.pop(0)
-        if isinstance(step, Exception):
-            raise step
-        await exchange.send_whole(ResponseHead(step, b"", True), BODY)
+        result = self.script.pop(0)
+        if isinstance(result, Exception):
+            raise result
+        await exchange.send_whole(ResponseHead(result, b"", True), BODY)
 
 
-class Unlimited:
+class FakeRetryBudget:
     requests = retries = refused_retries = 0
 
     def __init__(self, allowed: int = 1000) -> None:
         self.allowed = allowed
 
-    def add_request(self, now: float = 0.0, service: str = "") -> None:
+    def record_request(self, now: float = 0.0, service: str = "") -> None:
         self.requests += 1
 
-    def take_retry(self, now: float, service: str = "") -> bool:
+    def acquire_retry(self, now: float, service: str = "") -> bool:
         self.retries += 1
         return self.retries <= self.allowed
 
 
-def refused(code: ResultCode) -> NotRunError:
+def refusal(code: ResultCode) -> NotRunError:
     return NotRunError("refused", code, 0.4)
 
 
-class TriesTestCase(unittest.TestCase):
-    def serve(
+class AttemptTestCase(unittest.TestCase):
+    def send_with_script(
         self,
         *script: int | Exception,
         repeatable: bool = True,
         servers: int = 4,
         allowed: int = 1000,
-        change: Callable[[HttpRequest], None] | None = None,
+        modify_request: Callable[[HttpRequest], None] | None = None,
     ) -> FakeResponder:
         self.start(*script, servers=servers, allowed=allowed)
-        self.take_bundle(repeatable)
-        return self.ask(b"/a/1", change)
+        self.apply_bundle(repeatable)
+        return self.send(b"/a/1", modify_request)
 
     def start(
         self, *script: int | Exception, servers: int = 4, allowed: int = 1000
     ) -> None:
         """Start a node that has no bundle yet."""
         self.owner = FakeOwner(list(script))
-        self.budget = Unlimited(allowed)
+        self.budget = FakeRetryBudget(allowed)
         self.in_force = InForce()
         self.entry = Entry(
             self.in_force,
@@ -159,7 +159,7 @@
             retry_budget=self.budget,
         )
 
-    def take_bundle(self, repeatable: bool = True) -> None:
+    def apply_bundle(self, repeatable: bool = True) -> None:
         """Put a bundle in force."""
         parts = (RoutePart("turnos", 3), RoutePart("reservas", 1))
         routes = (
@@ -171,71 +171,79 @@
         )
         self.in_force.swap(Bundle(Manifest(1, (), "", "", b""), content))
 
-    def ask(
+    def send(
         self,
         target: bytes,
-        change: Callable[[HttpRequest], None] | None = None,
+        modify_request: Callable[[HttpRequest], None] | None = None,
         clock: trio.abc.Clock | None = None,
     ) -> FakeResponder:
         req = HttpRequest(None)  # type: ignore[arg-type]
         req.method, req.target, req.complete = b"POST", target, True
         req.headers = [(b"host", b"h.example")]
-        if change is not None:
-            change(req)
+        if modify_request is not None:
+            modify_request(req)
         responder = FakeResponder()
         trio.run(self.entry.handle_external, req, responder, clock=clock)
         return responder
 
 
-class FailureTest(TriesTestCase):
-    def test_a_failure_is_made_up_for_by_one_other_server(self) -> None:
-        responder = self.serve(500, 200)
+class ErrorResponseTest(AttemptTestCase):
+    def test_error_is_retried_at_one_other_server(self) -> None:
+        responder = self.send_with_script(500, 200)
         self.assertEqual(responder.statuses, [200])
         self.assertEqual(len(set(self.owner.servers)), 2)
 
-    def test_two_failures_give_one_answer_and_no_third_try(self) -> None:
-        responder = self.serve(500, 500, 200)
+    def test_two_errors_give_one_response_and_no_third_attempt(self) -> None:
+        responder = self.send_with_script(500, 500, 200)
         self.assertEqual(responder.statuses, [500])
         self.assertEqual(len(self.owner.servers), 2)
 
-    def test_the_kept_failure_is_passed_on_when_no_try_follows(self) -> None:
-        self.assertEqual(self.serve(500, 200, allowed=0).statuses, [500])
-        full = refused(ResultCode.REQUEST_NOT_RUN_OVERLOADED)
-        responder = self.serve(500, full, full, full, full)
+    def test_retained_error_is_forwarded_when_no_retry_succeeds(self) -> None:
+        self.assertEqual(self.send_with_script(500, 200, allowed=0).statuses, [500])
+        overloaded = refusal(ResultCode.REQUEST_NOT_RUN_OVERLOADED)
+        responder = self.send_with_script(
+            500, overloaded, overloaded, overloaded, overloaded
+        )
         self.assertEqual(responder.statuses, [500])
 
-    def test_what_must_not_run_twice_is_never_repeated(self) -> None:
-        responder = self.serve(500, 200, repeatable=False)
+    def test_non_repeatable_request_is_never_retried(self) -> None:
+        responder = self.send_with_script(500, 200, repeatable=False)
         self.assertEqual(responder.statuses, [500])
-        lost = RequestError("answer was lost")
-        responder = self.serve(lost, 200, repeatable=False)
+        lost = RequestError("response was lost")
+        responder = self.send_with_script(lost, 200, repeatable=False)
         self.assertEqual(responder.statuses, [502])
         self.assertEqual(len(self.owner.servers), 1)
 
-    def test_a_lost_answer_is_repeated_within_attempts_and_budget(self) -> None:
-        lost = RequestError("answer was lost")
-        self.assertEqual(self.serve(lost, 200).statuses, [200])
-        self.assertEqual(self.serve(lost, 200, allowed=0).statuses, [502])
-        self.assertEqual(self.serve(lost, lost, 200).statuses, [502])
+    def test_lost_response_is_retried_within_attempts_and_budget(self) -> None:
+        lost = RequestError("response was lost")
+        self.assertEqual(self.send_with_script(lost, 200).statuses, [200])
+        self.assertEqual(self.send_with_script(lost, 200, allowed=0).statuses, [502])
+        self.assertEqual(self.send_with_script(lost, lost, 200).statuses, [502])
 
 
-class RefusalTest(TriesTestCase):
-    def test_owners_refusals_cost_no_budget_and_no_attempts(self) -> None:
-        full = refused(ResultCode.REQUEST_NOT_RUN_OVERLOADED)
-        responder = self.serve(full, full, 200, repeatable=False, allowed=0)
+class RefusalTest(AttemptTestCase):
+    def test_refusals_by_owners_use_no_budget_and_no_attempts(self) -> None:
+        overloaded = refusal(ResultCode.REQUEST_NOT_RUN_OVERLOADED)
+        responder = self.send_with_script(
+            overloaded, overloaded, 200, repeatable=False, allowed=0
+        )
         self.assertEqual(responder.statuses, [200])
         self.assertEqual(self.budget.retries, 0)
 
-    def test_a_backend_servers_refusal_costs_both(self) -> None:
-        busy = refused(ResultCode.REQUEST_NOT_RUN_REFUSED)
-        self.assertEqual(self.serve(busy, 200, repeatable=False).statuses, [200])
+    def test_refusal_by_backend_server_uses_budget_and_attempt(self) -> None:
+        busy = refusal(ResultCode.REQUEST_NOT_RUN_REFUSED)
+        self.assertEqual(
+            self.send_with_script(busy, 200, repeatable=False).statuses, [200]
+        )
         self.assertEqual(self.budget.retries, 1)
-        responder = self.serve(busy, busy, 200, repeatable=False)
+        responder = self.send_with_script(busy, busy, 200, repeatable=False)
         self.assertEqual(responder.statuses, [503])
 
-    def test_a_refusal_says_when_to_come_back(self) -> None:
-        full = refused(ResultCode.REQUEST_NOT_RUN_OVERLOADED)
-        responder = self.serve(full, full, full, full, repeatable=False)
+    def test_refusal_has_retry_after_header(self) -> None:
+        overloaded = refusal(ResultCode.REQUEST_NOT_RUN_OVERLOADED)
+        responder = self.send_with_script(
+            overloaded, overloaded, overloaded, overloaded, repeatable=False
+        )
         self.assertEqual(responder.statuses, [503])
         line = next(
             line
@@ -244,106 +252,112 @@
         )
         self.assertTrue(0.4 <= float(line.partition(b": ")[2]) <= 0.8)
 
-    def test_a_refusal_after_a_lost_answer_promises_nothing(self) -> None:
-        lost = RequestError("answer was lost")
-        full = refused(ResultCode.REQUEST_NOT_RUN_OVERLOADED)
-        responder = self.serve(lost, full, full, full, full)
+    def test_refusal_after_lost_response_is_reported_as_unknown(self) -> None:
+        lost = RequestError("response was lost")
+        overloaded = refusal(ResultCode.REQUEST_NOT_RUN_OVERLOADED)
+        responder = self.send_with_script(
+            lost, overloaded, overloaded, overloaded, overloaded
+        )
         self.assertEqual(responder.statuses, [502])
 
 
-class PartsTest(TriesTestCase):
-    def test_short_runs_of_requests_keep_to_the_weights(self) -> None:
-        self.serve(200)
+class PartsTest(AttemptTestCase):
+    def test_few_requests_are_divided_by_weights(self) -> None:
+        self.send_with_script(200)
         self.owner.script = [200] * 400
         self.owner.servers.clear()
         for _ in range(40):
-            self.ask(b"/p/1")
-        part = sum(name.startswith("reservas") for name in self.owner.servers)
-        self.assertAlmostEqual(part, 10, delta=1)
+            self.send(b"/p/1")
+        part_count = sum(name.startswith("reservas") for name in self.owner.servers)
+        self.assertAlmostEqual(part_count, 10, delta=1)
 
-    def test_a_part_without_room_is_refused_and_not_moved(self) -> None:
-        self.serve(200)
+    def test_requests_of_part_without_servers_are_refused(self) -> None:
+        self.send_with_script(200)
         self.entry.tables._members = FakeMembers({"turnos": 2})  # type: ignore[assignment]
         self.entry.tables.mark_stale()
         self.entry.tables._rebuild(0.0)
         self.owner.script = [200] * 100
         self.owner.servers.clear()
-        statuses = [self.ask(b"/p/1").statuses[0] for _ in range(40)]
+        statuses = [self.send(b"/p/1").statuses[0] for _ in range(40)]
         self.assertAlmostEqual(statuses.count(503), 10, delta=1)
 
 
-class LittleTimeTest(TriesTestCase):
-    def test_no_try_begins_in_the_last_part_of_the_time(self) -> None:
-        full = refused(ResultCode.REQUEST_NOT_RUN_OVERLOADED)
+class RemainingTimeTest(AttemptTestCase):
+    def test_no_attempt_starts_shortly_before_deadline(self) -> None:
+        overloaded = refusal(ResultCode.REQUEST_NOT_RUN_OVERLOADED)
 
         class SlowOwner(FakeOwner):
             async def execute(self, head: RequestHead, exchange: Call) -> None:
                 await trio.sleep(0.9 * exchange.entry.route.timeout_ms / 1000)
                 await super().execute(head, exchange)
 
-        self.serve(200)
-        owner = SlowOwner([full, 200])
+        self.send_with_script(200)
+        owner = SlowOwner([overloaded, 200])
         self.entry._dispatcher._owner = owner  # type: ignore[assignment]
         clock = trio.testing.MockClock(autojump_threshold=0)
-        responder = self.ask(b"/a/1", clock=clock)
+        responder = self.send(b"/a/1", clock=clock)
         self.assertEqual(responder.statuses, [503])
         self.assertEqual(len(owner.servers), 1)
 
 
-class FirstBundleTest(TriesTestCase):
-    """All nodes start at once after a loss of power, before any has a bundle."""
+class FirstBundleTest(AttemptTestCase):
+    """All nodes start at once after a power failure, before any has a bundle."""
 
-    def ask_at(self, *times: float, bundle_at: float | None) -> list[tuple[int, float]]:
-        """Return the status of each request and after how many seconds it came."""
-        found: list[tuple[int, float]] = []
+    def send_at(
+        self, *times_s: float, bundle_at_s: float | None
+    ) -> list[tuple[int, float]]:
+        """Return the status of each request and the seconds until its response."""
+        results: list[tuple[int, float]] = []
 
-        async def ask(at: float) -> None:
-            await trio.sleep(at)
+        async def send(sent_at_s: float) -> None:
+            await trio.sleep(sent_at_s)
             req = HttpRequest(None)  # type: ignore[arg-type]
             req.method, req.target, req.complete = b"POST", b"/a/1", True
             req.headers = [(b"host", b"h.example")]
             responder = FakeResponder()
             await self.entry.handle_external(req, responder)  # type: ignore[arg-type]
-            took_s = round(trio.current_time() - started - at, 3)
-            found.append((responder.statuses[0], took_s))
+            elapsed_s = round(trio.current_time() - started - sent_at_s, 3)
+            results.append((responder.statuses[0], elapsed_s))
 
         async def main() -> None:
             nonlocal started
             started = trio.current_time()
             async with trio.open_nursery() as nursery:
-                for at in times:
-                    nursery.start_soon(ask, at)
-                if bundle_at is not None:
-                    await trio.sleep(bundle_at)
-                    self.take_bundle()
+                for sent_at_s in times_s:
+                    nursery.start_soon(send, sent_at_s)
+                if bundle_at_s is not None:
+                    await trio.sleep(bundle_at_s)
+                    self.apply_bundle()
 
         started = 0.0
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-        return found
+        return results
 
-    def test_requests_wait_for_a_bundle_that_comes(self) -> None:
+    def test_requests_wait_for_first_bundle(self) -> None:
         self.start(*[200] * 3)
-        found = self.ask_at(0.0, 0.1, 0.3, bundle_at=0.4)
-        self.assertEqual(sorted(found), [(200, 0.1), (200, 0.3), (200, 0.4)])
+        results = self.send_at(0.0, 0.1, 0.3, bundle_at_s=0.4)
+        self.assertEqual(sorted(results), [(200, 0.1), (200, 0.3), (200, 0.4)])
 
-    def test_waiting_counts_as_time_of_the_request(self) -> None:
+    def test_wait_counts_against_request_timeout(self) -> None:
         self.start(200)
-        self.ask_at(0.0, bundle_at=0.4)
+        self.send_at(0.0, bundle_at_s=0.4)
         self.assertEqual(self.owner.remaining_ms, 1600)
 
-    def test_without_a_bundle_requests_are_soon_refused_at_once(self) -> None:
+    def test_without_bundle_later_requests_are_refused_at_once(self) -> None:
         self.start()
-        found = self.ask_at(0.0, 0.5, 0.8, 2.0, bundle_at=None)
-        self.assertEqual([status for status, _ in found], [503] * 4)
-        self.assertEqual(sorted(took for _, took in found), [0.0, 0.0, 0.2, 0.7])
+        results = self.send_at(0.0, 0.5, 0.8, 2.0, bundle_at_s=None)
+        self.assertEqual([status for status, _ in results], [503] * 4)
+        self.assertEqual(
+            sorted(elapsed_s for _, elapsed_s in results), [0.0, 0.0, 0.2, 0.7]
+        )
 
-    def test_caller_that_leaves_is_not_held(self) -> None:
+    def test_request_of_closed_caller_is_not_held(self) -> None:
         wait = FirstBundleWait(FIRST_BUNDLE_WAIT_S)
 
         async def main() -> None:
             req = HttpRequest(None)  # type: ignore[arg-type]
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._leave, req)
+                nursery.start_soon(self._close_caller, req)
                 with self.assertRaises(CallerGoneError):
                     await wait.wait(req, trio.current_time())
                 self.assertAlmostEqual(trio.current_time() - started, 0.1)
@@ -352,7 +366,7 @@
         clock = trio.testing.MockClock(autojump_threshold=0)
         trio.run(main, clock=clock)
 
-    async def _leave(self, req: HttpRequest) -> None:
+    async def _close_caller(self, req: HttpRequest) -> None:
         await trio.sleep(0.1)
         req.caller_gone = True
         assert req.scope is not None
