--- a/marigoldchute/orders/__init__.py
+++ b/marigoldchute/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to move a service to another release, from the order to its verdict."""
+"""Rollout orders of services, from the operator's document to the verdict."""
--- a/marigoldchute/orders/book.py
+++ b/marigoldchute/orders/book.py
@@ -1,4 +1,4 @@
-"""Which release of each service takes how much, by the orders that are known."""
+"""Replicated order states and the traffic split of each service."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 
 class OrderBook:
-    """Replicated states of orders, and the split of requests that follows from them.
+    """Hold the replicated order states and compute each service's traffic split.
 
-    Without an order a service keeps to the release that it had: a release that appears
-    beside it gets nothing until an order names it.
+    A service without an order stays on the release that it had: another release that
+    is announced gets no requests until an order names it.
 
     Parameters
     ----------
     members : Members
-        Members with the backend servers that they announce.
+        Members of the mesh with the backend servers that they announce.
     table : RecordTable
         Replicated records.
     log : EventLog
@@ -42,87 +42,92 @@
         self._table = table
         self._log = log
         self._states: dict[str, OrderState] = {}
-        self._faulty: set[str] = set()
-        self._base: dict[str, str] = {}
+        self._faulty_order_ids: set[str] = set()
+        self._base_releases: dict[str, str] = {}
         self._splits: dict[str, Split] = {}
         self.on_change: list[Callable[[OrderState], None]] = []
-        table.subscribe(RecordKind.ORDER, self._take_record)
-        table.subscribe(RecordKind.ORDER_FAULT, self._take_fault)
+        table.subscribe(RecordKind.ORDER, self._on_order_record)
+        table.subscribe(RecordKind.ORDER_FAULT, self._on_fault_record)
 
     def states(self) -> tuple[OrderState, ...]:
-        """Return the newest state of each service's order."""
+        """Return the latest state of each service's order."""
         return tuple(self._states.values())
 
     def state(self, service: str) -> OrderState | None:
-        """Return the newest state of a service's order."""
+        """Return the latest state of a service's order, None without an order."""
         return self._states.get(service)
 
     def is_faulty(self, state: OrderState) -> bool:
-        """Whether some node has found the order's target to be faulty."""
-        return state.order_id in self._faulty
+        """Return whether any node has reported the order's target as faulty."""
+        return state.order_id in self._faulty_order_ids
 
-    def put(self, state: OrderState) -> bool:
-        """Spread a state to all nodes; return whether it is newer."""
+    def publish(self, state: OrderState) -> bool:
+        """Publish a state to all nodes; return whether it is the latest."""
         body = msgspec.msgpack.encode(state)
         rank = (state.number, state.step)
         return self._table.offer(Record(RecordKind.ORDER, state.service, rank, body))
 
     def report_fault(self, state: OrderState, reason: str) -> None:
-        """Tell all nodes that an order's target is faulty."""
+        """Publish to all nodes that an order's target is faulty."""
         record = Record(
             RecordKind.ORDER_FAULT, state.order_id, (state.number, 0), reason.encode()
         )
         self._table.offer(record)
 
     def refresh(self) -> None:
-        """Forget splits, because members or orders changed."""
+        """Discard the cached splits after a change of members or orders."""
         self._splits.clear()
 
     def split(self, service: str, release: str) -> Split:
-        """Return how the requests of a service divide now."""
-        found = self._splits.get(service)
-        if found is None:
-            found = self._splits[service] = self._make_split(service)
-        return found
+        """Return the present traffic split of a service."""
+        split = self._splits.get(service)
+        if split is None:
+            split = self._splits[service] = self._compute_split(service)
+        return split
 
-    def _make_split(self, service: str) -> Split:
+    def _compute_split(self, service: str) -> Split:
         state = self._states.get(service)
         if state is None:
-            base = self._base_of(service, frozenset())
+            base = self._base_release(service, frozenset())
             return Split(base, base, 0.0)
         if state.stage == OrderStage.DONE:
-            self._base[service] = state.target
+            self._base_releases[service] = state.target
             return Split(state.target, state.target, 0.0)
-        base = self._base_of(service, frozenset((*state.rejected, state.target)))
+        base = self._base_release(service, frozenset((*state.rejected, state.target)))
         share = state.share if state.is_open else 0.0
         if self.is_faulty(state):
             share = 0.0
         return Split(base, state.target, share, state.order_id)
 
-    def _base_of(self, service: str, excluded: frozenset[str]) -> str:
+    def _base_release(self, service: str, excluded: frozenset[str]) -> str:
         counts: collections.Counter[str] = collections.Counter()
         for member in self._members.all():
             for server in member.servers:
                 if server.service == service and server.release not in excluded:
                     counts[server.release] += 1
-        held = self._base.get(service)
-        if held is not None and held not in excluded and (not counts or held in counts):
-            return held
+        current = self._base_releases.get(service)
+        if (
+            current is not None
+            and current not in excluded
+            and (not counts or current in counts)
+        ):
+            return current
         if not counts:
-            return held or ""
-        # A release that is brought in has as many servers: the first one wins a tie.
+            return current or ""
+        # A release that is being rolled out may run on as many servers as the old one;
+        # a tie goes to the name that sorts first.
         base = min(counts, key=lambda name: (-counts[name], name))
-        self._base[service] = base
+        self._base_releases[service] = base
         return base
 
-    def _take_record(self, record: Record) -> None:
+    def _on_order_record(self, record: Record) -> None:
         state = _STATE.decode(record.body)
         self._states[state.service] = state
         self.refresh()
         self._log.emit(
             "orders",
             "state",
-            f"{state.service!r} gives {state.share:.0%} to {state.target!r}, "
+            f"{state.service!r} sends {state.share:.0%} to {state.target!r}, "
             f"{OrderStage(state.stage).name.lower()}.",
             move=state.order_id,
             step=state.step,
@@ -132,8 +137,8 @@
         for listener in self.on_change:
             listener(state)
 
-    def _take_fault(self, record: Record) -> None:
-        self._faulty.add(record.key)
+    def _on_fault_record(self, record: Record) -> None:
+        self._faulty_order_ids.add(record.key)
         self.refresh()
         self._log.emit(
             "orders",
--- a/marigoldchute/orders/driver.py
+++ b/marigoldchute/orders/driver.py
@@ -1,4 +1,4 @@
-"""Drives orders from share to share and writes their verdicts."""
+"""Driver that raises the shares of orders and writes their verdicts."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from marigoldchute.orders.model import OrderDocument, OrderStage, OrderState
 from marigoldchute.orders.outcomes import NodeOutcomes, OrderEvidence
 from marigoldchute.orders.schedule import (
-    STAGES,
+    SCHEDULE,
     Progress,
     advance,
-    is_doubtful,
+    has_late_fault_evidence,
     is_too_late,
     next_state,
 )
@@ -39,22 +39,22 @@
     from marigoldchute.orders.outcomes import OutcomeCounter
     from marigoldchute.util.clock import Clock
 
-TICK_S = 0.1
-IDLE_TICK_S = 0.5
-REPORT_S = 0.25
-# From this share on, a tenth of all requests may go to a bad release within a second.
-FAST_REPORT_SHARE = STAGES[-2].share
-FAST_REPORT_S = 0.1
+TICK_INTERVAL_S = 0.1
+IDLE_TICK_INTERVAL_S = 0.5
+REPORT_INTERVAL_S = 0.25
+# From this share on, a faulty release can get a tenth of all requests in a second.
+FAST_REPORT_SHARE = SCHEDULE[-2].share
+FAST_REPORT_INTERVAL_S = 0.1
 REPORT_TIMEOUT_S = 0.5
-WRITE_PAUSE_S = 0.3
+WRITE_RETRY_DELAY_S = 0.3
 
 
 class OrderApi(Protocol):
-    """How orders and verdicts lie in the store."""
+    """Access to the orders and verdicts in the store."""
 
     @property
     def kind(self) -> str:
-        """Kind of the orders' documents."""
+        """Kind of the order documents."""
 
     def decode(self, document: Document) -> OrderDocument:
         """Return the order of a document.
@@ -62,40 +62,41 @@
         Raises
         ------
         MoveError
-            The document is no order.
+            The document is not a valid order.
         """
 
     async def read(self, service: str) -> OrderDocument:
-        """Return the order of a service as the store holds it now."""
+        """Read the present order of a service from the store."""
 
     async def write(
         self, document: OrderDocument, state: OrderState, elapsed_ms: int
     ) -> OrderDocument:
-        """Write an order's status if its document has not changed since."""
+        """Write an order's status unless its document has changed since it was read."""
 
 
 class OrderDriver:
-    """Follows orders in the store; drives them on the node that leads.
+    """Follow the orders in the store and drive them on the leading reader.
 
-    Two drivers at once do no harm: shares rise by replicated states of which the
-    higher step wins, and a verdict is written only under the revision that was read.
+    Two drivers at the same time do no harm: shares rise by replicated states, of which
+    the higher step wins, and a verdict is written only under the revision that was
+    read.
 
     Parameters
     ----------
     api : OrderApi
         Orders in the store.
     book : OrderBook
-        Replicated states.
+        Replicated order states.
     counter : OutcomeCounter
-        What this node has counted.
+        Response counts of this node.
     directory : Directory
         Members and their backend servers.
     duty : ReaderDuty
-        Who reads the store, and who of them leads.
+        Election of the nodes that read the store and of their leader.
     control : LinkPool
-        Links on which counts go to the readers.
+        Links on which response counts are sent to the readers.
     handlers : Handlers
-        Where the report's method is registered.
+        Message handlers; the one for reports of response counts is registered here.
     log : EventLog
         Event log of the process.
     clock : Clock
@@ -124,19 +125,19 @@
         self._log = log
         self._clock = clock
         self._documents: dict[str, OrderDocument] = {}
-        self._seen_at: dict[str, float] = {}
-        self._held_since: dict[str, tuple[str, int, float]] = {}
+        self._started_at: dict[str, float] = {}
+        self._share_since: dict[str, tuple[str, int, float]] = {}
         self._evidence: dict[str, OrderEvidence] = {}
         self.reader: StoreReader | None = None
-        book.on_change.append(self._note_state)
-        handlers.register(Method.REPORT_OUTCOMES, self._take_report)
+        book.on_change.append(self._on_state_change)
+        handlers.register(Method.REPORT_OUTCOMES, self._on_report)
 
     def known_revision(self) -> int:
-        """Return 0: a reader that begins needs the documents' own revisions."""
+        """Return 0, as a reader that starts needs the revision of each document."""
         return 0
 
     def take_page(self, page: DocumentPage, whole: bool) -> None:
-        """Take orders from the store."""
+        """Apply documents from the store."""
         for document in page.documents:
             if document.deleted:
                 self._documents.pop(document.name, None)
@@ -147,24 +148,24 @@
                 self._log.emit(
                     "orders",
                     "malformed",
-                    f"{document.name!r} is no order: {exc.message}.",
+                    f"{document.name!r} is not a valid order: {exc.message}.",
                     code=exc.code.value,
                 )
                 continue
-            self._take_order(order)
+            self._apply_order(order)
 
-    def _take_order(self, order: OrderDocument) -> None:
+    def _apply_order(self, order: OrderDocument) -> None:
         self._documents[order.service] = order
-        held = self._book.state(order.service)
-        if held is not None and held.target == order.target:
-            if order.stage > held.stage:
-                self._book.put(_decided(held, order.stage))
+        known = self._book.state(order.service)
+        if known is not None and known.target == order.target:
+            if order.stage > known.stage:
+                self._book.publish(_with_verdict(known, order.stage))
             return
         rejected = set(order.rejected)
-        if held is not None:
-            rejected |= set(held.rejected)
-            if held.stage == OrderStage.TAKEN_BACK:
-                rejected.add(held.target)
+        if known is not None:
+            rejected |= set(known.rejected)
+            if known.stage == OrderStage.TAKEN_BACK:
+                rejected.add(known.target)
         rejected.discard(order.target)
         state = OrderState(
             order.service,
@@ -177,95 +178,101 @@
             tuple(sorted(rejected)),
         )
         if order.stage > OrderStage.RUNNING:
-            state = _decided(state, order.stage)
-        self._seen_at[state.order_id] = trio.current_time() - order.elapsed_ms / 1000
-        self._book.put(state)
+            state = _with_verdict(state, order.stage)
+        self._started_at[state.order_id] = trio.current_time() - order.elapsed_ms / 1000
+        self._book.publish(state)
 
-    def _note_state(self, state: OrderState) -> None:
+    def _on_state_change(self, state: OrderState) -> None:
         now = trio.current_time()
-        self._seen_at.setdefault(state.order_id, now)
-        self._held_since[state.service] = (state.order_id, state.step, now)
+        self._started_at.setdefault(state.order_id, now)
+        self._share_since[state.service] = (state.order_id, state.step, now)
         if not state.is_open:
-            self._counter.forget(state.order_id)
+            self._counter.discard(state.order_id)
             self._evidence.pop(state.order_id, None)
 
     async def run(self) -> None:
-        """Drive and report until cancelled."""
+        """Drive orders and report response counts until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._report)
+            nursery.start_soon(self._report_outcomes)
             while True:
                 open_orders = [s for s in self._book.states() if s.is_open]
                 for state in open_orders:
                     await self._advance(state)
-                await trio.sleep(TICK_S if open_orders else IDLE_TICK_S)
+                await trio.sleep(
+                    TICK_INTERVAL_S if open_orders else IDLE_TICK_INTERVAL_S
+                )
 
     async def _advance(self, state: OrderState) -> None:
         now = trio.current_time()
         now_ms = self._clock.now_ms()
-        evidence = self._evidence_of(state)
-        evidence.take(self._own_report(state.order_id), now_ms)
+        evidence = self._evidence_for(state)
+        evidence.apply_report(self._local_report(state.order_id), now_ms)
         assert self.reader is not None
         if not self._duty.leads(self.reader.reads(now), now):
             return
-        fault = evidence.fault()
+        fault = evidence.fault_reason()
         if fault and not self._book.is_faulty(state):
             self._book.report_fault(state, fault)
         if self._book.is_faulty(state):
             await self._take_back(state)
             return
-        progress = self._progress(state, evidence, now)
-        following = next_state(state, progress)
-        if following is None:
+        progress = self._compute_progress(state, evidence, now)
+        new_state = next_state(state, progress)
+        if new_state is None:
             if is_too_late(state, progress.elapsed_s):
-                self._book.report_fault(state, "its full share is not reached in time")
+                self._book.report_fault(state, "the full share was not reached in time")
             return
-        if is_doubtful(state, progress):
-            reason = f"evidence of {progress.doubt:.0%} of a proof at the last raise"
+        if has_late_fault_evidence(state, progress):
+            reason = (
+                f"evidence is {progress.fault_evidence:.0%} of the threshold, "
+                "too much for another raise"
+            )
             self._book.report_fault(state, reason)
             return
-        if following.stage == OrderStage.DONE:
-            await self._write(state, following)
-        elif self._book.put(following):
-            self._note_raise(following, progress)
+        if new_state.stage == OrderStage.DONE:
+            await self._write(state, new_state)
+        elif self._book.publish(new_state):
+            self._log_raise(new_state, progress)
             if state.stage == OrderStage.WAITING:
-                await self._write(following, following)
+                await self._write(new_state, new_state)
 
     async def _take_back(self, state: OrderState) -> None:
-        stopped = _decided(state, OrderStage.TAKEN_BACK)
-        await self._write(state, stopped)
+        taken_back = _with_verdict(state, OrderStage.TAKEN_BACK)
+        await self._write(state, taken_back)
 
-    async def _write(self, state: OrderState, following: OrderState) -> None:
-        """Write a status, and only then let the mesh act on a verdict."""
+    async def _write(self, state: OrderState, new_state: OrderState) -> None:
+        """Write a status; publish a verdict to the mesh only after it was written."""
         document = self._documents.get(state.service)
         if document is None or document.target != state.target:
             return
-        elapsed_s = trio.current_time() - self._seen_at[state.order_id]
+        elapsed_s = trio.current_time() - self._started_at[state.order_id]
         try:
-            written = await self._api.write(document, following, int(elapsed_s * 1000))
+            written = await self._api.write(document, new_state, int(elapsed_s * 1000))
         except (ConflictError, UnknownOutcomeError) as exc:
-            # The watch brings what stands; the next tick acts on that.
-            self._note_write(state, exc)
+            # The document has changed, or it is unknown whether it was written: read it
+            # again and let the next tick act on it.
+            self._log_write_failure(state, exc)
             await self._reread(state.service)
             return
         except PlatformError as exc:
-            self._note_write(state, exc)
-            await trio.sleep(WRITE_PAUSE_S)
+            self._log_write_failure(state, exc)
+            await trio.sleep(WRITE_RETRY_DELAY_S)
             return
         self._documents[state.service] = written
-        if not following.is_open:
+        if not new_state.is_open:
             self._log.emit(
                 "orders",
                 "verdict",
-                f"{state.order_id} is {OrderStage(following.stage).name.lower()}.",
+                f"{state.order_id} is {OrderStage(new_state.stage).name.lower()}.",
                 move=state.order_id,
                 elapsed_s=round(elapsed_s, 2),
                 revision=written.revision,
             )
-            self._book.put(following)
+            self._book.publish(new_state)
 
     async def _reread(self, service: str) -> None:
         try:
-            self._take_order(await self._api.read(service))
+            self._apply_order(await self._api.read(service))
         except (PlatformError, MoveError) as exc:
             self._log.emit(
                 "orders",
@@ -273,21 +280,21 @@
                 f"The order of {service!r} could not be read: {exc.message}.",
                 code=exc.code.value,
             )
-            await trio.sleep(WRITE_PAUSE_S)
+            await trio.sleep(WRITE_RETRY_DELAY_S)
 
-    def _note_raise(self, state: OrderState, progress: Progress) -> None:
+    def _log_raise(self, state: OrderState, progress: Progress) -> None:
         self._log.emit(
             "orders",
             "raised",
             f"{state.order_id} is raised to {state.share:.0%}.",
             move=state.order_id,
             share=state.share,
-            answers=progress.answers,
-            doubt=round(progress.doubt, 2),
+            answers=progress.responses,
+            doubt=round(progress.fault_evidence, 2),
             elapsed_s=round(progress.elapsed_s, 2),
         )
 
-    def _note_write(self, state: OrderState, exc: PlatformError) -> None:
+    def _log_write_failure(self, state: OrderState, exc: PlatformError) -> None:
         self._log.emit(
             "orders",
             "write_failed",
@@ -296,10 +303,10 @@
             code=exc.code.value,
         )
 
-    def _progress(
+    def _compute_progress(
         self, state: OrderState, evidence: OrderEvidence, now: float
     ) -> Progress:
-        order_id, step, since = self._held_since[state.service]
+        order_id, step, since = self._share_since[state.service]
         held_s = now - since if (order_id, step) == (state.order_id, state.step) else 0
         has_servers = any(
             server.service == state.service
@@ -309,66 +316,73 @@
             if member.usable
             for server in member.servers
         )
-        elapsed_s = now - self._seen_at[state.order_id]
-        answers, doubt = evidence.new_answers, evidence.doubt()
-        return Progress(elapsed_s, held_s, has_servers, answers, doubt)
+        elapsed_s = now - self._started_at[state.order_id]
+        responses, fault_evidence = (
+            evidence.new_response_count,
+            evidence.fault_evidence(),
+        )
+        return Progress(elapsed_s, held_s, has_servers, responses, fault_evidence)
 
-    def _evidence_of(self, state: OrderState) -> OrderEvidence:
+    def _evidence_for(self, state: OrderState) -> OrderEvidence:
         evidence = self._evidence.get(state.order_id)
         if evidence is None:
             evidence = self._evidence[state.order_id] = OrderEvidence(state)
         return evidence
 
-    def _own_report(self, order_id: str) -> NodeOutcomes:
+    def _local_report(self, order_id: str) -> NodeOutcomes:
         local = self._directory.local
         counts = self._counter.counts_of(order_id)
         return NodeOutcomes(local.name, local.incarnation, order_id, counts)
 
-    async def _report(self) -> None:
-        """Send what this node has counted to the nodes that may decide."""
-        told: set[str] = set()
+    async def _report_outcomes(self) -> None:
+        """Send this node's response counts to the nodes that may decide on an order."""
+        previous_deciders: set[str] = set()
         while True:
             await trio.sleep(self._report_interval_s())
-            changed = set(self._counter.changed)
-            self._counter.changed.clear()
+            changed = set(self._counter.changed_order_ids)
+            self._counter.changed_order_ids.clear()
             deciders = self._duty.deciders(trio.current_time())
-            # Who has begun to decide needs the counts of before as well.
-            known = {state.order_id for state in self._book.states() if state.is_open}
+            # A node that has just become a decider needs the earlier counts as well.
+            open_ids = {
+                state.order_id for state in self._book.states() if state.is_open
+            }
             for name in deciders:
-                for order_id in changed if name in told else changed | known:
-                    body = msgspec.msgpack.encode(self._own_report(order_id))
-                    await self._send(name, body)
-            told = set(deciders)
+                for order_id in (
+                    changed if name in previous_deciders else changed | open_ids
+                ):
+                    body = msgspec.msgpack.encode(self._local_report(order_id))
+                    await self._send_report(name, body)
+            previous_deciders = set(deciders)
 
     def _report_interval_s(self) -> float:
         fast = any(
             state.is_open and state.share >= FAST_REPORT_SHARE
             for state in self._book.states()
         )
-        return FAST_REPORT_S if fast else REPORT_S
+        return FAST_REPORT_INTERVAL_S if fast else REPORT_INTERVAL_S
 
-    async def _send(self, name: str, body: bytes) -> None:
+    async def _send_report(self, name: str, body: bytes) -> None:
         try:
             await self._control.call(
                 name, Method.REPORT_OUTCOMES, body, REPORT_TIMEOUT_S
             )
         except (PeerError, AuthError) as exc:
-            # Counts are cumulative, so the next report holds these too.
+            # Counts are cumulative, so the next report contains these as well.
             self._log.emit(
                 "orders",
                 "report_lost",
-                f"{name} did not take the counts: {exc.message}.",
+                f"{name} did not receive the response counts: {exc.message}.",
                 member=name,
                 code=exc.code.value,
             )
 
-    async def _take_report(self, link: Link, body: bytes) -> bytes:
+    async def _on_report(self, link: Link, body: bytes) -> bytes:
         report = msgspec.msgpack.decode(body, type=NodeOutcomes)
         for state in self._book.states():
             if state.order_id == report.order_id and state.is_open:
-                self._evidence_of(state).take(report, self._clock.now_ms())
+                self._evidence_for(state).apply_report(report, self._clock.now_ms())
         return b""
 
 
-def _decided(state: OrderState, stage: OrderStage) -> OrderState:
+def _with_verdict(state: OrderState, stage: OrderStage) -> OrderState:
     return advance(state, 1.0 if stage == OrderStage.DONE else 0.0, stage)
--- a/marigoldchute/orders/model.py
+++ b/marigoldchute/orders/model.py
@@ -1,4 +1,4 @@
-"""Orders as the store holds them and as nodes replicate them."""
+"""Order documents of the store and the order states that nodes replicate."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class OrderStage(enum.IntEnum):
-    """Where an order stands; later ones never go back to earlier ones."""
+    """Stage of an order; an order never returns to an earlier stage."""
 
     WAITING = 0
     RUNNING = 1
@@ -19,24 +19,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class OrderDocument:
-    """An order as an operator wrote it, with what this mesh wrote beside it.
+    """An operator's order and the status that the mesh has written for it.
 
     Parameters
     ----------
     service : str
-        Service whose traffic moves.
+        Service whose traffic is moved.
     target : str
-        Release to which it moves.
+        Release to which the traffic is moved.
     duration_s : float
-        Time from the order to its deadline.
+        Seconds from the order to its deadline.
     revision : int
-        Revision of the store's document, needed to write the status.
+        Revision of the document in the store; a status is written only under it.
     stage : OrderStage
-        What the status says of this target.
+        Stage of this target according to the status.
     rejected : tuple of str
         Releases of earlier orders that were taken back.
     elapsed_ms : int
-        Time that had passed since the order when the status was written.
+        Age of the order in milliseconds when the status was written.
     """
 
     service: str
@@ -49,25 +49,25 @@
 
 
 class OrderState(msgspec.Struct, frozen=True, array_like=True):
-    """An order as all nodes act on it.
+    """State of an order as it is replicated to all nodes.
 
     Parameters
     ----------
     service, target : str
-        What moves where.
+        Service whose traffic is moved, and the release to which it is moved.
     number : int
-        Revision of the store at which the order was first seen; a later order of the
-        same service has a higher one.
+        Store revision at which the order was first read; a later order of the same
+        service has a higher one.
     step : int
-        Rises with each change of the share.
+        Counter that rises with each change of the share.
     share : float
-        Part of the service's requests for the target.
+        Fraction of the service's requests that goes to the target.
     stage : OrderStage
-        Where the order stands.
+        Stage of the order.
     duration_s : float
-        Time from the order to its deadline.
+        Seconds from the order to its deadline.
     rejected : tuple of str
-        Releases that no request may go to.
+        Releases that must not get any request.
     """
 
     service: str
@@ -81,10 +81,10 @@
 
     @property
     def order_id(self) -> str:
-        """Name of the order in logs and evidence."""
+        """Identifier of the order in logs and evidence."""
         return f"{self.service}/{self.target}/{self.number}"
 
     @property
     def is_open(self) -> bool:
-        """Whether no verdict has been given."""
+        """Whether the order has no verdict yet."""
         return self.stage in (OrderStage.WAITING, OrderStage.RUNNING)
--- a/marigoldchute/orders/outcomes.py
+++ b/marigoldchute/orders/outcomes.py
@@ -1,4 +1,4 @@
-"""Counts of answers by release while a service is moved, and what they say."""
+"""Response counts by release during an order, and the tests for a faulty release."""
 
 from __future__ import annotations
 
@@ -15,49 +15,52 @@
     from marigoldchute.orders.model import OrderState
 
 SLOW_FACTOR = 4.0
-OVERDUE_FACTOR = 2.5  # One that was cut would have taken longer than it was seen to.
-COLD_FACTOR = 2.0  # A backend server runs up to twice as long in its cold start.
-USUAL_WEIGHT = 0.05
-MIN_USUAL_SAMPLES = 5
-# A faulty release fails or delays a large part of its answers; backend servers that
-# lose or spoil a few in a hundred are no reason to take a release back.
-TOLERANCE = 0.06
-BAD_RATES = (0.3, 0.6)
-LOG_LIMIT = 7.0  # One false alarm in about 1,000 looks at independent answers.
+# A request that was cut off at its deadline would have taken longer than was measured.
+OVERDUE_FACTOR = 2.5
+COLD_FACTOR = 2.0  # A backend server takes up to twice as long in its cold start.
+BASELINE_WEIGHT = 0.05  # Weight of a new sample in the moving average.
+MIN_BASELINE_SAMPLES = 5
+# A faulty release fails or delays a large part of its responses. Backend servers that
+# lose or corrupt a few responses in a hundred are no reason to take a release back.
+BAD_SHARE_TOLERANCE = 0.06
+BAD_SHARE_HYPOTHESES = (0.3, 0.6)
+LOG_THRESHOLD = 7.0  # About one false alarm in 1,000 tests of independent responses.
 WINDOW_MS = 250
-WINDOW_LIMIT = 2.7  # Three windows in a row convict at the earliest.
-PRIOR_BAD = 0.2  # Of all routes: two in a hundred answers are bad, as ten show.
-PRIOR_ANSWERED = 10.0
-ROUTE_PRIOR_ANSWERED = 8.0  # Of one route: as all routes, as eight answers show.
-COUNTED = (Outcome.OK, Outcome.ERROR, Outcome.UNKNOWN, Outcome.OVERDUE)
-LOCAL_MIN_FAILURES = 6
-LOCAL_MIN_SHARE = 0.25
-LOCAL_MIN_RATIO = 3.0
+MAX_WINDOW_LOG = 2.7  # The threshold takes at least three consecutive windows.
+# The prior of all routes is two bad responses in a hundred, weighted as ten responses.
+PRIOR_BAD_COUNT = 0.2
+PRIOR_RESPONSE_COUNT = 10.0
+# The prior of one route is the bad share of all routes, weighted as eight responses.
+ROUTE_PRIOR_RESPONSE_COUNT = 8.0
+COUNTED_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.UNKNOWN, Outcome.OVERDUE)
+LOCAL_MIN_BAD_COUNT = 6
+LOCAL_MIN_BAD_SHARE = 0.25
+LOCAL_MIN_BAD_RATIO = 3.0
 
 
 class RouteCounts(msgspec.Struct, frozen=True, array_like=True):
-    """Answers of one route and release at one node since it learned of the order.
+    """Response counts of one route and release at one node since it got the order.
 
     Parameters
     ----------
     route : str
         Route name.
     new : bool
-        Whether the order's target answered.
-    answered, failed, slow : int
-        Answers, those among them that failed, and others that took far longer than
-        usual.
+        Whether the responses came from the order's target.
+    responses, failed, slow : int
+        All responses, those that failed, and those that did not fail but took far
+        longer than the baseline.
     """
 
     route: str
     new: bool
-    answered: int
+    responses: int
     failed: int
     slow: int
 
 
 class NodeOutcomes(msgspec.Struct, frozen=True, array_like=True):
-    """What one node has counted for an order."""
+    """Response counts of one node for an order."""
 
     node: str
     incarnation: int
@@ -66,8 +69,8 @@
 
 
 @dataclasses.dataclass
-class _Cell:
-    answered: int = 0
+class _ResponseCounts:
+    responses: int = 0
     failed: int = 0
     slow: int = 0
 
@@ -75,8 +78,8 @@
     def bad(self) -> int:
         return self.failed + self.slow
 
-    def add(self, other: _Cell) -> None:
-        self.answered += other.answered
+    def add(self, other: _ResponseCounts) -> None:
+        self.responses += other.responses
         self.failed += other.failed
         self.slow += other.slow
 
@@ -85,54 +88,56 @@
     """Counts of one order on this node."""
 
     def __init__(self) -> None:
-        self.cells: dict[tuple[str, bool], _Cell] = {}
-        self.usual_ms: dict[str, tuple[float, int]] = {}
+        self.by_route: dict[tuple[str, bool], _ResponseCounts] = {}
+        self.baseline_ms: dict[str, tuple[float, int]] = {}
 
     def add(
         self, route: str, new: bool, outcome: Outcome, latency_ms: float, cold: bool
     ) -> None:
-        usual_ms, samples = self.usual_ms.get(route, (latency_ms, 0))
+        baseline_ms, samples = self.baseline_ms.get(route, (latency_ms, 0))
         factor = OVERDUE_FACTOR if outcome is Outcome.OVERDUE else SLOW_FACTOR
-        limit_ms = factor * usual_ms * (COLD_FACTOR if cold else 1.0)
-        slow = samples >= MIN_USUAL_SAMPLES and latency_ms > limit_ms
+        slow_threshold_ms = factor * baseline_ms * (COLD_FACTOR if cold else 1.0)
+        slow = samples >= MIN_BASELINE_SAMPLES and latency_ms > slow_threshold_ms
         if outcome is Outcome.OVERDUE and not slow:
-            return  # A short time limit says nothing of the release.
+            return  # A short deadline is no evidence against the release.
         failed = outcome is not Outcome.OK
-        cell = self.cells.setdefault((route, new), _Cell())
-        cell.answered += 1
-        cell.slow += slow
-        cell.failed += failed and not slow
+        counts = self.by_route.setdefault((route, new), _ResponseCounts())
+        counts.responses += 1
+        counts.slow += slow
+        counts.failed += failed and not slow
         if not (new or failed or cold):
-            weight = max(USUAL_WEIGHT, 1.0 / (samples + 1))
-            usual_ms += weight * (latency_ms - usual_ms)
-            self.usual_ms[route] = (usual_ms, samples + 1)
-
-    def convicts(self) -> str:
-        """Return why this node alone is sure of a fault, empty when it is not."""
-        new_all, old_all = _Cell(), _Cell()
-        for (route, new), cell in self.cells.items():
+            weight = max(BASELINE_WEIGHT, 1.0 / (samples + 1))
+            baseline_ms += weight * (latency_ms - baseline_ms)
+            self.baseline_ms[route] = (baseline_ms, samples + 1)
+
+    def find_local_fault(self) -> str:
+        """Return the fault that this node's own counts prove, empty for none."""
+        new_all, old_all = _ResponseCounts(), _ResponseCounts()
+        for (route, new), counts in self.by_route.items():
             if not new:
                 continue
-            old = self.cells.get((route, False), _Cell())
-            if _is_worse(cell, old):
-                return f"{cell.bad} of {cell.answered} answers are bad on {route!r}"
-            new_all.add(cell)
+            old = self.by_route.get((route, False), _ResponseCounts())
+            if _is_worse(counts, old):
+                return (
+                    f"{counts.bad} of {counts.responses} responses are bad on {route!r}"
+                )
+            new_all.add(counts)
             old_all.add(old)
         if _is_worse(new_all, old_all):
-            return f"{new_all.bad} of {new_all.answered} answers are bad"
+            return f"{new_all.bad} of {new_all.responses} responses are bad"
         return ""
 
 
-def _is_worse(new: _Cell, old: _Cell) -> bool:
-    if new.bad < LOCAL_MIN_FAILURES:
+def _is_worse(new: _ResponseCounts, old: _ResponseCounts) -> bool:
+    if new.bad < LOCAL_MIN_BAD_COUNT:
         return False
-    share = new.bad / new.answered
-    usual = (old.bad + 0.5) / (old.answered + 5.0)
-    return share >= LOCAL_MIN_SHARE and share >= LOCAL_MIN_RATIO * usual
+    share = new.bad / new.responses
+    baseline = (old.bad + 0.5) / (old.responses + 5.0)
+    return share >= LOCAL_MIN_BAD_SHARE and share >= LOCAL_MIN_BAD_RATIO * baseline
 
 
 class OutcomeCounter:
-    """Outcome sink that counts for the open orders.
+    """Outcome sink that counts the responses of the open orders.
 
     Parameters
     ----------
@@ -143,7 +148,7 @@
     def __init__(self, book: OrderBook) -> None:
         self._book = book
         self._orders: dict[str, _OrderCounts] = {}
-        self.changed: set[str] = set()
+        self.changed_order_ids: set[str] = set()
 
     def record(
         self,
@@ -157,41 +162,41 @@
         cold: bool,
         now_ms: int,
     ) -> None:
-        """Take one outcome; refusals and requests that were given up say nothing."""
+        """Record one outcome; refused and cancelled requests are not counted."""
         if not move_id:
             return
         state = self._book.state(service)
         if state is None or state.order_id != move_id or not state.is_open:
             return
-        if outcome not in COUNTED:
+        if outcome not in COUNTED_OUTCOMES:
             return
         counts = self._orders.setdefault(move_id, _OrderCounts())
         new = release == state.target
         counts.add(route, new, outcome, latency_ms, cold)
-        self.changed.add(move_id)
+        self.changed_order_ids.add(move_id)
         if new and not self._book.is_faulty(state):
-            reason = counts.convicts()
+            reason = counts.find_local_fault()
             if reason:
                 self._book.report_fault(state, reason)
 
     def counts_of(self, order_id: str) -> list[RouteCounts]:
-        """Return the counts of an order."""
+        """Return this node's counts of an order."""
         counts = self._orders.get(order_id)
         if counts is None:
             return []
         return [
-            RouteCounts(route, new, c.answered, c.failed, c.slow)
-            for (route, new), c in counts.cells.items()
+            RouteCounts(route, new, c.responses, c.failed, c.slow)
+            for (route, new), c in counts.by_route.items()
         ]
 
-    def forget(self, order_id: str) -> None:
-        """Drop the counts of an order that has its verdict."""
+    def discard(self, order_id: str) -> None:
+        """Discard the counts of an order that has its verdict."""
         self._orders.pop(order_id, None)
-        self.changed.discard(order_id)
+        self.changed_order_ids.discard(order_id)
 
 
 class OrderEvidence:
-    """Adds up what the nodes count for one order and tests it.
+    """Add up the counts of all nodes for one order and test its target for a fault.
 
     Parameters
     ----------
@@ -201,123 +206,144 @@
 
     def __init__(self, state: OrderState) -> None:
         self.order_id = state.order_id
-        self.new_answers = 0
+        self.new_response_count = 0
         self._routes: dict[str, RouteEvidence] = {}
-        self._taken: dict[tuple[str, int, str, bool], RouteCounts] = {}
+        self._latest_counts: dict[tuple[str, int, str, bool], RouteCounts] = {}
 
-    def take(self, report: NodeOutcomes, now_ms: int) -> None:
-        """Take what a node has counted so far."""
+    def apply_report(self, report: NodeOutcomes, now_ms: int) -> None:
+        """Apply the cumulative counts of a node."""
         for counts in report.counts:
             key = (report.node, report.incarnation, counts.route, counts.new)
-            before = self._taken.get(key)
-            added = _Cell(counts.answered, counts.failed, counts.slow)
-            if before is not None:
-                added.answered -= before.answered
-                added.failed -= before.failed
-                added.slow -= before.slow
-            if added.answered <= 0:
+            previous = self._latest_counts.get(key)
+            added = _ResponseCounts(counts.responses, counts.failed, counts.slow)
+            if previous is not None:
+                added.responses -= previous.responses
+                added.failed -= previous.failed
+                added.slow -= previous.slow
+            if added.responses <= 0:
                 continue
-            self._taken[key] = counts
+            self._latest_counts[key] = counts
             evidence = self._routes.setdefault(counts.route, RouteEvidence())
             evidence.add(counts.new, added, now_ms)
             if counts.new:
-                self.new_answers += added.answered
+                self.new_response_count += added.responses
 
-    def fault(self) -> str:
-        """Return why the target is faulty, empty while nothing says so."""
-        value, where = self._greatest()
-        return f"evidence {value:.1f} {where}" if value > LOG_LIMIT else ""
+    def fault_reason(self) -> str:
+        """Return why the target is faulty, empty below the fault threshold."""
+        value, description = self._strongest_evidence()
+        return f"evidence {value:.1f} {description}" if value > LOG_THRESHOLD else ""
 
-    def doubt(self) -> float:
-        """Return the evidence that the target is faulty as a part of what convicts."""
-        return max(0.0, self._greatest()[0] / LOG_LIMIT)
+    def fault_evidence(self) -> float:
+        """Return the evidence of a fault as a fraction of the fault threshold."""
+        return max(0.0, self._strongest_evidence()[0] / LOG_THRESHOLD)
 
-    def _greatest(self) -> tuple[float, str]:
+    def _strongest_evidence(self) -> tuple[float, str]:
         pooled = RouteEvidence()
         for evidence in self._routes.values():
             pooled.merge(evidence)
-        usual = pooled.usual(PRIOR_BAD / PRIOR_ANSWERED, PRIOR_ANSWERED)
-        found = [(0.0, ""), (pooled.log_value(usual), pooled.describe("any"))]
+        baseline = pooled.baseline(
+            PRIOR_BAD_COUNT / PRIOR_RESPONSE_COUNT, PRIOR_RESPONSE_COUNT
+        )
+        candidates = [
+            (0.0, ""),
+            (pooled.log_evidence(baseline), pooled.describe("any")),
+        ]
         for route, evidence in self._routes.items():
-            of_route = evidence.usual(usual, ROUTE_PRIOR_ANSWERED)
-            found.append((evidence.log_value(of_route), evidence.describe(route)))
-        return max(found)
+            route_baseline = evidence.baseline(baseline, ROUTE_PRIOR_RESPONSE_COUNT)
+            candidates.append(
+                (evidence.log_evidence(route_baseline), evidence.describe(route))
+            )
+        return max(candidates)
 
 
 class RouteEvidence:
-    """Answers of both releases on one route, those of the new one by window."""
+    """Response counts of both releases on one route, of the new one by window."""
 
     def __init__(self) -> None:
-        self._old = _Cell()
-        self._windows: dict[int, _Cell] = {}
+        self._old = _ResponseCounts()
+        self._windows: dict[int, _ResponseCounts] = {}
 
-    def add(self, new: bool, added: _Cell, now_ms: int) -> None:
-        """Add answers that were counted of late."""
+    def add(self, new: bool, added: _ResponseCounts, now_ms: int) -> None:
+        """Add responses that were counted since the last report."""
         if new:
-            self._windows.setdefault(now_ms // WINDOW_MS, _Cell()).add(added)
+            self._windows.setdefault(now_ms // WINDOW_MS, _ResponseCounts()).add(added)
         else:
             self._old.add(added)
 
     def merge(self, other: RouteEvidence) -> None:
-        """Add the answers of another route."""
+        """Add the responses of another route."""
         self._old.add(other._old)
-        for window, cell in other._windows.items():
-            self._windows.setdefault(window, _Cell()).add(cell)
+        for window, counts in other._windows.items():
+            self._windows.setdefault(window, _ResponseCounts()).add(counts)
 
     def describe(self, route: str) -> str:
-        """Return what was counted, for logs."""
-        new, old = _Cell(), self._old
-        for cell in self._windows.values():
-            new.add(cell)
+        """Return the counts as a text for logs."""
+        new, old = _ResponseCounts(), self._old
+        for counts in self._windows.values():
+            new.add(counts)
         return (
-            f"on route {route!r}: {new.bad} of {new.answered} new answers are bad, "
-            f"{old.bad} of {old.answered} old ones"
+            f"on route {route!r}: {new.bad} of {new.responses} responses of the new "
+            f"release are bad, {old.bad} of {old.responses} of the old one"
         )
 
-    def usual(self, prior: float, prior_answers: float) -> float:
-        """Return the part of the old release's answers that is bad.
+    def baseline(self, prior: float, prior_responses: float) -> float:
+        """Return the bad share of the old release's responses, smoothed by a prior.
 
         Parameters
         ----------
         prior : float
-            Part that is expected.
-        prior_answers : float
-            Answers that would weigh as much as the expectation.
+            Expected bad share.
+        prior_responses : float
+            Number of responses that the prior weighs as much as.
         """
         old = self._old
-        return (old.bad + prior * prior_answers) / (old.answered + prior_answers)
+        return (old.bad + prior * prior_responses) / (old.responses + prior_responses)
 
-    def log_value(self, usual: float) -> float:
+    def log_evidence(self, baseline: float) -> float:
         """Return the logarithm of the evidence that the new release is worse.
 
-        A cumulative sum test (Page, "Continuous Inspection Schemes", 1954): the
-        greatest over all spans that end now, as a release may turn bad late or under
-        load, and the good answers of before say nothing of that.
+        This is a cumulative sum test (Page, "Continuous Inspection Schemes", 1954).
+        It takes the maximum over all spans of windows that end now: a release may
+        become faulty late or under load, and earlier good responses do not count
+        against that.
 
         Parameters
         ----------
-        usual : float
-            Part of the old release's answers that is bad.
+        baseline : float
+            Bad share of the old release's responses.
         """
-        tolerated = min(0.9, usual + TOLERANCE)
-        latest = [cell for _, cell in sorted(self._windows.items(), reverse=True)]
-        rates = [rate for rate in BAD_RATES if rate > tolerated]
+        tolerated = min(0.9, baseline + BAD_SHARE_TOLERANCE)
+        newest_first = [
+            counts for _, counts in sorted(self._windows.items(), reverse=True)
+        ]
+        hypotheses = [
+            hypothesis for hypothesis in BAD_SHARE_HYPOTHESES if hypothesis > tolerated
+        ]
         return max(
-            (_greatest_sum(latest, rate, tolerated) for rate in rates), default=0
+            (
+                _max_log_ratio(newest_first, hypothesis, tolerated)
+                for hypothesis in hypotheses
+            ),
+            default=0,
         )
 
 
-def _greatest_sum(latest: list[_Cell], rate: float, tolerated: float) -> float:
-    """Return the greatest log likelihood ratio of spans of windows, latest first.
+def _max_log_ratio(
+    newest_first: list[_ResponseCounts], hypothesis: float, tolerated: float
+) -> float:
+    """Return the maximum log likelihood ratio of spans of windows, newest first.
 
-    A window adds no more than ``WINDOW_LIMIT``: a backend server that dies takes its
-    running requests with it, all at once, and that convicts no release.
+    A window adds no more than ``MAX_WINDOW_LOG``. A backend server that crashes fails
+    all its running requests at once, which does not prove a fault of the release.
     """
-    for_bad = math.log(rate / tolerated)
-    for_good = math.log((1.0 - rate) / (1.0 - tolerated))
-    total = greatest = 0.0
-    for cell in latest:
-        value = cell.bad * for_bad + (cell.answered - cell.bad) * for_good
-        total += min(value, WINDOW_LIMIT)
-        greatest = max(greatest, total)
-    return greatest - math.log(len(BAD_RATES))
+    bad_log_ratio = math.log(hypothesis / tolerated)
+    good_log_ratio = math.log((1.0 - hypothesis) / (1.0 - tolerated))
+    total = maximum = 0.0
+    for counts in newest_first:
+        value = (
+            counts.bad * bad_log_ratio
+            + (counts.responses - counts.bad) * good_log_ratio
+        )
+        total += min(value, MAX_WINDOW_LOG)
+        maximum = max(maximum, total)
+    return maximum - math.log(len(BAD_SHARE_HYPOTHESES))
--- a/marigoldchute/orders/schedule.py
+++ b/marigoldchute/orders/schedule.py
@@ -1,4 +1,4 @@
-"""When an order's share rises, as a function of time and of what was seen."""
+"""Schedule by which an order's share rises, from elapsed time and evidence."""
 
 from __future__ import annotations
 
@@ -10,129 +10,134 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Stage:
-    """One share of the schedule.
+class ScheduleStep:
+    """One share of the schedule and the conditions to leave it.
 
     Parameters
     ----------
     share : float
-        Part of the requests for the target.
-    until : float
-        Part of the order's duration after which the next one may begin.
-    hold : float
-        Part of the order's duration for which the share is held at least.
+        Fraction of the requests that goes to the target.
+    end_fraction : float
+        Fraction of the order's duration after which the next share may begin.
+    hold_fraction : float
+        Fraction of the order's duration for which the share is held at least.
     max_hold_s : float
-        Longest such time.
-    min_answers : int
-        Answers of the target that must have been seen by its end.
+        Upper limit of that minimum hold time.
+    min_responses : int
+        Responses of the target that must have been counted by the end of this share.
     """
 
     share: float
-    until: float
-    hold: float
+    end_fraction: float
+    hold_fraction: float
     max_hold_s: float
-    min_answers: int
+    min_responses: int
 
     def hold_s(self, duration_s: float) -> float:
-        """Return the shortest time at this share."""
-        return min(self.max_hold_s, self.hold * duration_s)
-
-
-# The first shares find a release that fails from the start or late; they leave enough
-# of a tenth of all requests for a second of full share, at which a release that is bad
-# under load is found. The last one lets requests to the old release end.
-STAGES = (
-    Stage(0.07, 0.46, 0.26, 3.5, 25),
-    Stage(0.15, 0.57, 0.08, 1.2, 45),
-    Stage(0.3, 0.62, 0.05, 0.8, 60),
-    Stage(1.0, 0.72, 0.16, 2.2, 120),
+        """Return the minimum time in seconds at this share."""
+        return min(self.max_hold_s, self.hold_fraction * duration_s)
+
+
+# A faulty release may get up to a tenth of all requests. The first shares detect a
+# release that fails from the start or after some time. They leave enough of that tenth
+# for one second at the full share, at which a release that fails under load is
+# detected. The hold time at full share lets running requests to the old release end.
+SCHEDULE = (
+    ScheduleStep(0.07, 0.46, 0.26, 3.5, 25),
+    ScheduleStep(0.15, 0.57, 0.08, 1.2, 45),
+    ScheduleStep(0.3, 0.62, 0.05, 0.8, 60),
+    ScheduleStep(1.0, 0.72, 0.16, 2.2, 120),
 )
-# Some failures that are no proof yet keep the share down, but not beyond the time at
-# which the full share can still be held as long as it must.
-DOUBT_LIMIT = 0.3  # Part of the evidence that convicts.
-DOUBT_UNTIL = 0.76  # Part of the duration.
-DOUBT_CONVICTS = 0.5  # Of releases of which so much is seen by then, most are faulty.
-LAST_CALL = 0.95  # Part of the duration by which the full share must be reached.
-VERDICT_STEP = 1_000_000
+# Evidence below the fault threshold delays the next raise. The delay ends while there
+# is still time to hold the full share for its minimum.
+MAX_RAISE_EVIDENCE = 0.3  # Fraction of the fault threshold.
+EVIDENCE_DELAY_END = 0.76  # Fraction of the duration.
+# Most releases with more evidence than this at the end of the delay are faulty.
+LATE_FAULT_EVIDENCE = 0.5
+FULL_SHARE_DEADLINE = 0.95  # Fraction of the duration to reach the full share by.
+VERDICT_STEP_OFFSET = 1_000_000
 
 
 @dataclasses.dataclass(frozen=True)
 class Progress:
-    """What a step needs to know.
+    """Observations that decide whether the share rises.
 
     Parameters
     ----------
     elapsed_s : float
-        Time since the order.
+        Seconds since the order.
     held_s : float
-        Time at the present share.
+        Seconds at the present share.
     has_servers : bool
-        Whether the target has backend servers to take requests.
-    answers : int
-        Answers of the target that were counted.
-    doubt : float
-        Evidence that the target is faulty; 1 convicts it.
+        Whether backend servers with the target release accept requests.
+    responses : int
+        Counted responses of the target.
+    fault_evidence : float
+        Evidence that the target is faulty, as a fraction of the fault threshold.
     """
 
     elapsed_s: float
     held_s: float
     has_servers: bool
-    answers: int
-    doubt: float = 0.0
+    responses: int
+    fault_evidence: float = 0.0
 
 
 def next_state(state: OrderState, progress: Progress) -> OrderState | None:
-    """Return the state to go to, or None while the present one stands.
+    """Return the next state, or None while the present one is kept.
 
-    The final state is ``DONE``; its caller writes the verdict first.
+    The final state is ``DONE``; the caller writes the verdict before publishing it.
     """
     if not state.is_open:
         return None
     if state.stage == OrderStage.WAITING or state.share <= 0.0:
         if not progress.has_servers:
             return None
-        return advance(state, STAGES[0].share, OrderStage.RUNNING)
-    stage = _stage_of(state.share)
+        return advance(state, SCHEDULE[0].share, OrderStage.RUNNING)
+    schedule_step = _schedule_step(state.share)
     duration_s = state.duration_s
-    if progress.held_s < stage.hold_s(duration_s):
+    if progress.held_s < schedule_step.hold_s(duration_s):
         return None
     if not progress.has_servers:
         return None
-    if progress.doubt > DOUBT_LIMIT and progress.elapsed_s < DOUBT_UNTIL * duration_s:
+    if (
+        progress.fault_evidence > MAX_RAISE_EVIDENCE
+        and progress.elapsed_s < EVIDENCE_DELAY_END * duration_s
+    ):
         return None
-    due = progress.elapsed_s >= stage.until * duration_s
-    if not due or (
-        progress.answers < stage.min_answers
-        and progress.elapsed_s < (stage.until + 0.08) * duration_s
+    is_due = progress.elapsed_s >= schedule_step.end_fraction * duration_s
+    if not is_due or (
+        progress.responses < schedule_step.min_responses
+        and progress.elapsed_s < (schedule_step.end_fraction + 0.08) * duration_s
     ):
         return None
-    later = [s for s in STAGES if s.share > state.share]
-    if later:
-        return advance(state, later[0].share, OrderStage.RUNNING)
+    later_steps = [step for step in SCHEDULE if step.share > state.share]
+    if later_steps:
+        return advance(state, later_steps[0].share, OrderStage.RUNNING)
     return advance(state, 1.0, OrderStage.DONE)
 
 
 def advance(state: OrderState, share: float, stage: OrderStage) -> OrderState:
-    """Return the state that follows another one."""
+    """Return a copy of a state with the next step, a share and a stage."""
     step = state.step + 1
     if stage > OrderStage.RUNNING:
-        step += VERDICT_STEP  # No share that is raised meanwhile ranks above it.
+        step += VERDICT_STEP_OFFSET  # A concurrent raise must not outrank a verdict.
     return msgspec.structs.replace(state, step=step, share=share, stage=stage)
 
 
 def is_too_late(state: OrderState, elapsed_s: float) -> bool:
-    """Return whether an order can no longer be done in time, so it is taken back."""
-    return state.share < 1.0 and elapsed_s >= LAST_CALL * state.duration_s
+    """Return whether the full share was not reached in time, so that an order fails."""
+    return state.share < 1.0 and elapsed_s >= FULL_SHARE_DEADLINE * state.duration_s
 
 
-def is_doubtful(state: OrderState, progress: Progress) -> bool:
-    """Return whether too much speaks against an order's target to go on with it."""
-    late = progress.elapsed_s >= DOUBT_UNTIL * state.duration_s
-    return state.is_open and late and progress.doubt > DOUBT_CONVICTS
+def has_late_fault_evidence(state: OrderState, progress: Progress) -> bool:
+    """Return whether the evidence at the end of the delay makes the target faulty."""
+    is_late = progress.elapsed_s >= EVIDENCE_DELAY_END * state.duration_s
+    return state.is_open and is_late and progress.fault_evidence > LATE_FAULT_EVIDENCE
 
 
-def _stage_of(share: float) -> Stage:
-    for stage in STAGES:
-        if share <= stage.share:
-            return stage
-    return STAGES[-1]
+def _schedule_step(share: float) -> ScheduleStep:
+    for schedule_step in SCHEDULE:
+        if share <= schedule_step.share:
+            return schedule_step
+    return SCHEDULE[-1]
--- a/tests/test_orders/test_outcomes.py
+++ b/tests/test_orders/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What the outcomes of requests say of a release that is brought in."""
+"""Detection of faulty releases from request outcomes while an order is driven."""
 
 from __future__ import annotations
 
@@ -12,7 +12,12 @@
 from marigoldchute.orders.book import OrderBook
 from marigoldchute.orders.model import OrderStage, OrderState
 from marigoldchute.orders.outcomes import NodeOutcomes, OrderEvidence, OutcomeCounter
-from marigoldchute.orders.schedule import STAGES, Progress, is_doubtful, next_state
+from marigoldchute.orders.schedule import (
+    SCHEDULE,
+    Progress,
+    has_late_fault_evidence,
+    next_state,
+)
 from marigoldchute.overlay.records import RecordTable
 from marigoldchute.routing.outcomes import Outcome
 from marigoldchute.routing.route_mix import RouteMix
@@ -21,7 +26,7 @@
 
 
 class FakeMembers:
-    """Members with two releases of one service."""
+    """Members that each announce one backend server of a service."""
 
     def __init__(self, *releases: str) -> None:
         self.releases = releases
@@ -37,326 +42,342 @@
         )
 
 
-class Mesh:
-    """Nodes that count, and the one that adds up, in simulated time."""
+class SimulatedMesh:
+    """Nodes that count responses and one that adds them up, in simulated time."""
 
     def __init__(
         self, nodes: int, seed: int, routes: tuple[str, ...] = ("query", "book")
     ) -> None:
         self.routes = routes
-        self.mix = RouteMix()
+        self.route_mix = RouteMix()
         self.rng = random.Random(seed)
         self.books = []
         self.counters = []
         for _ in range(nodes):
             book = OrderBook(FakeMembers("v1", "v2"), RecordTable(), EventSink())  # type: ignore[arg-type]
-            book.put(ORDER)
+            book.publish(ORDER)
             self.books.append(book)
             self.counters.append(OutcomeCounter(book))
         self.evidence = OrderEvidence(ORDER)
         self.now_ms = 0
-        self.to_new = 0
+        self.new_release_requests = 0
         self.share = 0.0
         self.warm_at_ms = 0
-        self.limits_ms: dict[str, float] = {}  # Time limits of routes.
+        self.timeouts_ms: dict[str, float] = {}  # Timeout by route.
 
-    def run_until_fault(self, seconds: float, per_s: float, share: float, bad) -> str:  # type: ignore[no-untyped-def]
-        """Serve requests; return the reason of a conviction, by a node or by all."""
+    def run_until_fault(  # type: ignore[no-untyped-def]
+        self, seconds: float, requests_per_s: float, share: float, behaviour
+    ) -> str:
+        """Serve requests until a fault is reported; return its reason, or empty."""
         for _ in range(int(seconds * 10)):
             self.now_ms += 100
-            for _ in range(int(per_s / 10)):
-                self._serve(share, bad)
+            for _ in range(int(requests_per_s / 10)):
+                self.serve_request(share, behaviour)
             for index, counter in enumerate(self.counters):
                 counts = counter.counts_of(ORDER.order_id)
                 report = NodeOutcomes(f"vm-{index}", 1, ORDER.order_id, counts)
-                self.evidence.take(report, self.now_ms)
-            reason = self.evidence.fault()
+                self.evidence.apply_report(report, self.now_ms)
+            reason = self.evidence.fault_reason()
             if reason or any(book.is_faulty(ORDER) for book in self.books):
-                return reason or "a node"
+                return reason or "fault found by one node"
         return ""
 
-    def _serve(self, share: float, bad) -> None:  # type: ignore[no-untyped-def]
+    def serve_request(self, share: float, behaviour) -> None:  # type: ignore[no-untyped-def]
         route = self.rng.choice(self.routes)
-        self.mix.add_request("turnos", route)
-        new = self.rng.random() < self.mix.share("turnos", route, share)
-        self.to_new += new
-        run_ms = self.rng.lognormvariate(4.8, 0.8)
+        self.route_mix.add_request("turnos", route)
+        new = self.rng.random() < self.route_mix.share("turnos", route, share)
+        self.new_release_requests += new
+        latency_ms = self.rng.lognormvariate(4.8, 0.8)
         cold = new and self.now_ms < self.warm_at_ms
-        run_ms *= 2.0 if cold else 1.0
+        latency_ms *= 2.0 if cold else 1.0
         outcome = Outcome.OK
         if self.rng.random() < 0.01:
             outcome = Outcome.ERROR
         if new:
-            run_ms, outcome = bad(self.rng, route, run_ms, outcome)
-        limit_ms = self.limits_ms.get(route)
-        if limit_ms is not None and run_ms > limit_ms:
-            run_ms, outcome = limit_ms, Outcome.OVERDUE
+            latency_ms, outcome = behaviour(self.rng, route, latency_ms, outcome)
+        timeout_ms = self.timeouts_ms.get(route)
+        if timeout_ms is not None and latency_ms > timeout_ms:
+            latency_ms, outcome = timeout_ms, Outcome.OVERDUE
         self.rng.choice(self.counters).record(
             route,
             "turnos",
             "v2" if new else "v1",
             ORDER.order_id,
             outcome,
-            run_ms,
+            latency_ms,
             0,
             cold,
             self.now_ms,
         )
 
 
-def fails(rng, route, run_ms, outcome):  # type: ignore[no-untyped-def]
-    return run_ms, Outcome.ERROR if rng.random() < 0.5 else outcome
+def fails(rng, route, latency_ms, outcome):  # type: ignore[no-untyped-def]
+    return latency_ms, Outcome.ERROR if rng.random() < 0.5 else outcome
 
 
-def fails_when(is_bad):  # type: ignore[no-untyped-def]
-    """Return a release that fails like ``fails`` while a condition holds."""
+def fails_when(is_faulty_now):  # type: ignore[no-untyped-def]
+    """Return a behaviour that fails like ``fails`` while a condition holds."""
 
-    def answer(rng, route, run_ms, outcome):  # type: ignore[no-untyped-def]
-        if is_bad():
-            return fails(rng, route, run_ms, outcome)
-        return run_ms, outcome
+    def respond(rng, route, latency_ms, outcome):  # type: ignore[no-untyped-def]
+        if is_faulty_now():
+            return fails(rng, route, latency_ms, outcome)
+        return latency_ms, outcome
 
-    return answer
+    return respond
 
 
-def fails_on_one_route(rng, route, run_ms, outcome):  # type: ignore[no-untyped-def]
-    bad = route == "book" and rng.random() < 0.5
-    return run_ms, Outcome.ERROR if bad else outcome
+def fails_on_one_route(rng, route, latency_ms, outcome):  # type: ignore[no-untyped-def]
+    failed = route == "book" and rng.random() < 0.5
+    return latency_ms, Outcome.ERROR if failed else outcome
 
 
-def is_slow(rng, route, run_ms, outcome):  # type: ignore[no-untyped-def]
+def is_slow_or_unknown(rng, route, latency_ms, outcome):  # type: ignore[no-untyped-def]
     if rng.random() >= 0.41:
-        return run_ms, outcome
-    slow_ms = run_ms * 8
+        return latency_ms, outcome
+    slow_ms = latency_ms * 8
     return min(slow_ms, 1200.0), Outcome.UNKNOWN if slow_ms > 1200.0 else outcome
 
 
-def is_slow_but_answers(rng, route, run_ms, outcome):  # type: ignore[no-untyped-def]
-    return (8 * run_ms if rng.random() < 0.5 else run_ms), outcome
+def responds_slowly(rng, route, latency_ms, outcome):  # type: ignore[no-untyped-def]
+    return (8 * latency_ms if rng.random() < 0.5 else latency_ms), outcome
 
 
-def is_as_before(rng, route, run_ms, outcome):  # type: ignore[no-untyped-def]
-    return run_ms, outcome
+def responds_as_before(rng, route, latency_ms, outcome):  # type: ignore[no-untyped-def]
+    return latency_ms, outcome
 
 
 class BadLaterTest(unittest.TestCase):
-    def test_a_release_that_turns_bad_under_load_is_found_at_once(self) -> None:
+    """A release that is good at a small share and fails at a larger one."""
+
+    def test_release_that_fails_at_a_larger_share_is_detected_at_once(self) -> None:
         for seed in range(6):
             with self.subTest(seed=seed):
-                mesh = Mesh(12, seed)
-                quiet = mesh.run_until_fault(6.0, 160, 0.05, is_as_before)
-                self.assertEqual(quiet, "")
-                before = mesh.to_new
+                mesh = SimulatedMesh(12, seed)
+                reason = mesh.run_until_fault(6.0, 160, 0.05, responds_as_before)
+                self.assertEqual(reason, "")
+                requests_before = mesh.new_release_requests
                 self.assertTrue(mesh.run_until_fault(4.0, 160, 0.4, fails))
-                self.assertLess(mesh.to_new - before, 130)
+                self.assertLess(mesh.new_release_requests - requests_before, 130)
 
 
 class BadReleaseTest(unittest.TestCase):
-    """Shares of the schedule at the request rate of a small site."""
-
-    per_s = 160.0
-    allowed = 0.1 * 160 * 16 + 50
-
-    def walk(self, mesh: Mesh, bad) -> str:  # type: ignore[no-untyped-def]
-        began = 0.5
-        for stage in STAGES:
-            seconds = stage.until * ORDER.duration_s - began
-            began = stage.until * ORDER.duration_s
-            reason = mesh.run_until_fault(seconds, self.per_s, stage.share, bad)
+    """A release that is faulty from the start, at the request rate of a small site."""
+
+    requests_per_s = 160.0
+    allowed_requests = 0.1 * 160 * 16 + 50
+
+    def run_shares(self, mesh: SimulatedMesh, behaviour) -> str:  # type: ignore[no-untyped-def]
+        started_s = 0.5
+        for schedule_step in SCHEDULE:
+            seconds = schedule_step.end_fraction * ORDER.duration_s - started_s
+            started_s = schedule_step.end_fraction * ORDER.duration_s
+            reason = mesh.run_until_fault(
+                seconds, self.requests_per_s, schedule_step.share, behaviour
+            )
             if reason:
                 return reason
         return ""
 
-    def test_a_bad_release_is_found_within_the_allowed_exposure(self) -> None:
-        for bad in (fails, fails_on_one_route, is_slow):
+    def test_faulty_release_is_detected_within_the_allowed_exposure(self) -> None:
+        for behaviour in (fails, fails_on_one_route, is_slow_or_unknown):
             for seed in range(8):
-                with self.subTest(bad=bad.__name__, seed=seed):
-                    mesh = Mesh(12, seed)
-                    self.assertTrue(self.walk(mesh, bad))
-                    self.assertLess(mesh.to_new, self.allowed)
+                with self.subTest(behaviour=behaviour.__name__, seed=seed):
+                    mesh = SimulatedMesh(12, seed)
+                    self.assertTrue(self.run_shares(mesh, behaviour))
+                    self.assertLess(mesh.new_release_requests, self.allowed_requests)
 
-    def test_a_good_release_is_left_alone(self) -> None:
+    def test_good_release_is_not_reported(self) -> None:
         for seed in range(12):
             with self.subTest(seed=seed):
-                self.assertEqual(self.walk(Mesh(12, seed), is_as_before), "")
+                self.assertEqual(
+                    self.run_shares(SimulatedMesh(12, seed), responds_as_before), ""
+                )
 
 
-class ScheduleWalk(unittest.TestCase):
-    """Follows the schedule at the request rate of a small site."""
+class ScheduleTestCase(unittest.TestCase):
+    """Base for tests that run the schedule at the request rate of a small site."""
 
-    per_s = 83.0
-    allowed = 0.1 * 83 * 16 + 50
-    report_delay_s = 0.25  # From an answer to the share of 0 at every node.
+    requests_per_s = 83.0
+    allowed_requests = 0.1 * 83 * 16 + 50
+    report_delay_s = 0.25  # From a response until every node uses the share 0.
 
-    def drive(self, mesh: Mesh, bad) -> str:  # type: ignore[no-untyped-def]
-        """Follow the schedule to its end or to a conviction; return its reason."""
-        state = msgspec.structs.replace(ORDER, share=STAGES[0].share)
-        mesh.now_ms = changed_ms = 1500
+    def run_schedule(self, mesh: SimulatedMesh, behaviour) -> str:  # type: ignore[no-untyped-def]
+        """Run the schedule to its end or to a fault; return the reason of the fault."""
+        state = msgspec.structs.replace(ORDER, share=SCHEDULE[0].share)
+        mesh.now_ms = raised_at_ms = 1500
         while True:
             mesh.share = state.share
-            reason = mesh.run_until_fault(0.1, self.per_s, state.share, bad)
+            reason = mesh.run_until_fault(
+                0.1, self.requests_per_s, state.share, behaviour
+            )
             if reason:
-                for _ in range(int(self.report_delay_s * self.per_s)):
-                    mesh._serve(state.share, bad)
+                for _ in range(int(self.report_delay_s * self.requests_per_s)):
+                    mesh.serve_request(state.share, behaviour)
                 return reason
             progress = Progress(
                 mesh.now_ms / 1000,
-                (mesh.now_ms - changed_ms) / 1000,
+                (mesh.now_ms - raised_at_ms) / 1000,
                 True,
-                mesh.evidence.new_answers,
-                mesh.evidence.doubt(),
+                mesh.evidence.new_response_count,
+                mesh.evidence.fault_evidence(),
             )
-            following = next_state(state, progress)
-            if following is not None:
-                if is_doubtful(state, progress):
-                    return "doubt"
-                state, changed_ms = following, mesh.now_ms
+            new_state = next_state(state, progress)
+            if new_state is not None:
+                if has_late_fault_evidence(state, progress):
+                    return "late evidence"
+                state, raised_at_ms = new_state, mesh.now_ms
             if not state.is_open:
                 return ""
 
 
-class RareRouteTest(ScheduleWalk):
-    """A release that is bad on one route which takes one request in twenty."""
+class RareRouteTest(ScheduleTestCase):
+    """A release that is faulty on one route that gets one request in twenty."""
 
-    def test_a_release_that_is_bad_on_a_rare_route_stays_in_its_exposure(self) -> None:
+    def test_exposure_stays_within_the_limit(self) -> None:
         for seed in range(8):
             with self.subTest(seed=seed):
-                mesh = Mesh(13, seed, ("query",) * 19 + ("book",))
-                self.assertTrue(self.drive(mesh, fails_on_one_route))
-                self.assertLess(mesh.to_new, self.allowed)
+                mesh = SimulatedMesh(13, seed, ("query",) * 19 + ("book",))
+                self.assertTrue(self.run_schedule(mesh, fails_on_one_route))
+                self.assertLess(mesh.new_release_requests, self.allowed_requests)
 
-    def test_a_good_release_gets_its_full_share_in_time(self) -> None:
+    def test_good_release_is_done_before_the_deadline(self) -> None:
         for seed in range(8):
             with self.subTest(seed=seed):
-                mesh = Mesh(13, seed, ("query",) * 19 + ("book",))
-                self.assertEqual(self.drive(mesh, is_as_before), "")
+                mesh = SimulatedMesh(13, seed, ("query",) * 19 + ("book",))
+                self.assertEqual(self.run_schedule(mesh, responds_as_before), "")
                 self.assertLess(mesh.now_ms / 1000, ORDER.duration_s)
 
 
-class ShortTimeTest(ScheduleWalk):
-    """A rare route whose time limit is shorter than its requests run."""
+class ShortTimeTest(ScheduleTestCase):
+    """A rare route whose timeout is shorter than its requests typically take."""
 
-    def test_a_good_release_is_left_alone(self) -> None:
+    def test_good_release_is_not_reported(self) -> None:
         for seed in range(12):
             with self.subTest(seed=seed):
-                mesh = Mesh(13, seed, ("query",) * 49 + ("brief",))
-                mesh.limits_ms["brief"] = 40.0
-                self.assertEqual(self.drive(mesh, is_as_before), "")
+                mesh = SimulatedMesh(13, seed, ("query",) * 49 + ("brief",))
+                mesh.timeouts_ms["brief"] = 40.0
+                self.assertEqual(self.run_schedule(mesh, responds_as_before), "")
 
 
-class UnderLoadTest(ScheduleWalk):
-    """A release that fails once it carries all requests, as it does under load."""
+class UnderLoadTest(ScheduleTestCase):
+    """A release that fails once it gets all requests, as under load."""
 
-    def test_it_stays_in_its_exposure(self) -> None:
+    def test_exposure_stays_within_the_limit(self) -> None:
         for seed in range(12):
             with self.subTest(seed=seed):
-                mesh = Mesh(13, seed)
+                mesh = SimulatedMesh(13, seed)
 
-                bad = fails_when(lambda mesh=mesh: mesh.share >= 1.0)
-                self.assertTrue(self.drive(mesh, bad))
-                self.assertLess(mesh.to_new, self.allowed)
+                behaviour = fails_when(lambda mesh=mesh: mesh.share >= 1.0)
+                self.assertTrue(self.run_schedule(mesh, behaviour))
+                self.assertLess(mesh.new_release_requests, self.allowed_requests)
 
 
-class SlowTest(ScheduleWalk):
-    """A release that runs eight times as long, from its cold start on."""
+class SlowTest(ScheduleTestCase):
+    """A release that takes eight times as long, from its cold start on."""
 
     routes = ("query",) * 19 + ("book",)
 
-    def make_mesh(self, seed: int) -> Mesh:
-        mesh = Mesh(13, seed, self.routes)
+    def make_mesh(self, seed: int) -> SimulatedMesh:
+        mesh = SimulatedMesh(13, seed, self.routes)
         mesh.warm_at_ms = 16_000
         return mesh
 
-    def test_it_stays_in_its_exposure(self) -> None:
+    def test_exposure_stays_within_the_limit(self) -> None:
         for seed in range(8):
             with self.subTest(seed=seed):
                 mesh = self.make_mesh(seed)
-                self.assertTrue(self.drive(mesh, is_slow_but_answers))
-                self.assertLess(mesh.to_new, self.allowed)
+                self.assertTrue(self.run_schedule(mesh, responds_slowly))
+                self.assertLess(mesh.new_release_requests, self.allowed_requests)
 
-    def test_it_does_when_its_answers_are_cut_at_a_time_limit(self) -> None:
+    def test_exposure_stays_within_the_limit_when_responses_time_out(self) -> None:
         for seed in range(8):
             with self.subTest(seed=seed):
-                mesh = Mesh(13, seed, self.routes)
-                mesh.limits_ms = dict.fromkeys(self.routes, 450.0)
-                self.assertTrue(self.drive(mesh, is_slow_but_answers))
-                self.assertLess(mesh.to_new, self.allowed)
+                mesh = SimulatedMesh(13, seed, self.routes)
+                mesh.timeouts_ms = dict.fromkeys(self.routes, 450.0)
+                self.assertTrue(self.run_schedule(mesh, responds_slowly))
+                self.assertLess(mesh.new_release_requests, self.allowed_requests)
 
-    def test_a_good_release_in_its_cold_start_is_left_alone(self) -> None:
+    def test_good_release_in_its_cold_start_is_not_reported(self) -> None:
         for seed in range(8):
             with self.subTest(seed=seed):
-                self.assertEqual(self.drive(self.make_mesh(seed), is_as_before), "")
+                self.assertEqual(
+                    self.run_schedule(self.make_mesh(seed), responds_as_before), ""
+                )
 
 
-class LateTest(ScheduleWalk):
-    """A release that fails some seconds after it has begun."""
+class LateTest(ScheduleTestCase):
+    """A release that starts to fail some seconds after the order."""
 
-    def test_it_stays_in_its_exposure(self) -> None:
-        for begins_ms in (4000, 6000, 8000):
+    def test_exposure_stays_within_the_limit(self) -> None:
+        for failing_from_ms in (4000, 6000, 8000):
             for seed in range(6):
-                with self.subTest(begins_ms=begins_ms, seed=seed):
-                    mesh = Mesh(13, seed)
+                with self.subTest(failing_from_ms=failing_from_ms, seed=seed):
+                    mesh = SimulatedMesh(13, seed)
 
-                    bad = fails_when(lambda mesh=mesh, at=begins_ms: mesh.now_ms >= at)
-                    self.assertTrue(self.drive(mesh, bad))
-                    self.assertLess(mesh.to_new, self.allowed)
+                    behaviour = fails_when(
+                        lambda mesh=mesh, at_ms=failing_from_ms: mesh.now_ms >= at_ms
+                    )
+                    self.assertTrue(self.run_schedule(mesh, behaviour))
+                    self.assertLess(mesh.new_release_requests, self.allowed_requests)
 
 
-class VeryLateTest(ScheduleWalk):
-    """A release that fails once it has its full share, ten seconds after the order."""
+class VeryLateTest(ScheduleTestCase):
+    """A release that starts to fail at its full share, ten seconds after the order."""
 
-    def test_it_stays_in_its_exposure(self) -> None:
+    def test_exposure_stays_within_the_limit(self) -> None:
         for seed in range(16):
             with self.subTest(seed=seed):
-                mesh = Mesh(13, seed)
+                mesh = SimulatedMesh(13, seed)
 
-                bad = fails_when(lambda mesh=mesh: mesh.now_ms >= 10_000)
-                self.assertTrue(self.drive(mesh, bad))
-                self.assertLess(mesh.to_new, self.allowed)
+                behaviour = fails_when(lambda mesh=mesh: mesh.now_ms >= 10_000)
+                self.assertTrue(self.run_schedule(mesh, behaviour))
+                self.assertLess(mesh.new_release_requests, self.allowed_requests)
 
 
-class RareFaultTest(ScheduleWalk):
-    """A release that fails four in ten on a route of one request in twenty."""
+class RareFaultTest(ScheduleTestCase):
+    """A release that fails four in ten requests of a route with one in twenty."""
 
-    def test_it_stays_in_its_exposure(self) -> None:
+    def test_exposure_stays_within_the_limit(self) -> None:
         for seed in range(60):
             with self.subTest(seed=seed):
-                mesh = Mesh(13, seed, ("query",) * 19 + ("book",))
+                mesh = SimulatedMesh(13, seed, ("query",) * 19 + ("book",))
 
-                def bad(rng, route, run_ms, outcome):  # type: ignore[no-untyped-def]
+                def behaviour(rng, route, latency_ms, outcome):  # type: ignore[no-untyped-def]
                     failed = route == "book" and rng.random() < 0.4
-                    return run_ms, Outcome.ERROR if failed else outcome
+                    return latency_ms, Outcome.ERROR if failed else outcome
 
-                self.assertTrue(self.drive(mesh, bad))
-                self.assertLess(mesh.to_new, self.allowed)
+                self.assertTrue(self.run_schedule(mesh, behaviour))
+                self.assertLess(mesh.new_release_requests, self.allowed_requests)
 
 
 class SplitTest(unittest.TestCase):
+    """Traffic split of a service by the state of its order."""
+
     def make_book(self, *releases: str) -> OrderBook:
         return OrderBook(FakeMembers(*releases), RecordTable(), EventSink())  # type: ignore[arg-type]
 
-    def test_a_release_that_no_order_names_gets_nothing(self) -> None:
+    def test_release_without_an_order_gets_no_requests(self) -> None:
         book = self.make_book("v1", "v1", "v2", "v2")
         self.assertEqual(book.split("turnos", "").old_release, "v1")
         self.assertEqual(book.split("turnos", "").share, 0.0)
 
-    def test_a_fault_stops_the_share_before_any_verdict(self) -> None:
+    def test_fault_sets_the_share_to_zero_before_the_verdict(self) -> None:
         book = self.make_book("v1", "v2")
-        book.put(ORDER)
+        book.publish(ORDER)
         self.assertEqual(book.split("turnos", "").share, 0.05)
         book.report_fault(ORDER, "test")
         self.assertEqual(book.split("turnos", "").share, 0.0)
 
-    def test_a_release_that_was_taken_back_never_becomes_the_base(self) -> None:
+    def test_rejected_release_is_not_used_as_old_release(self) -> None:
         book = self.make_book("v2", "v2", "v2", "v1", "v3")
-        book.put(
+        book.publish(
             OrderState("turnos", "v3", 9, 1, 0.05, OrderStage.RUNNING, 16.0, ("v2",))
         )
         split = book.split("turnos", "")
         self.assertEqual((split.old_release, split.new_release), ("v1", "v3"))
 
-    def test_a_done_order_leaves_only_its_target(self) -> None:
+    def test_done_order_sends_all_requests_to_its_target(self) -> None:
         book = self.make_book("v1", "v1", "v2")
-        book.put(OrderState("turnos", "v2", 9, 9, 1.0, OrderStage.DONE, 16.0, ()))
+        book.publish(OrderState("turnos", "v2", 9, 9, 1.0, OrderStage.DONE, 16.0, ()))
         split = book.split("turnos", "")
         self.assertEqual((split.old_release, split.share), ("v2", 0.0))
