--- a/marigoldchute/platform/__init__.py
+++ b/marigoldchute/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the platform: translates, and decides nothing."""
+"""Adapter to the platform: translates its formats and makes no decisions."""
--- a/marigoldchute/platform/__main__.py
+++ b/marigoldchute/platform/__main__.py
@@ -1,4 +1,4 @@
-"""The node's program on the platform."""
+"""Entry point of a node on the platform."""
 
 from __future__ import annotations
 
@@ -15,22 +15,23 @@
 from marigoldchute.platform.adapter import PlatformAdapter
 from marigoldchute.platform.settings import read_settings, settings_path
 
-RELOAD_POLL_S = 2.0  # The file may change without a signal.
+RELOAD_INTERVAL_S = 2.0  # The settings file may change without a SIGHUP.
 GC_ALLOCATIONS = 20_000
 
 
 async def _run(node: HostedNode, path: str, log: EventLog) -> None:
     async with trio.open_nursery() as nursery:
         nursery.start_soon(node.run)
-        nursery.start_soon(_reload_from_time_to_time, node, path, log)
+        nursery.start_soon(_reload_periodically, node, path, log)
         draining = False
-        numbers = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-        # Signals that come during a drain must not meet their default actions.
-        with trio.open_signal_receiver(*numbers) as signals:
-            async for number in signals:
-                if number == signal.SIGHUP:
+        signal_numbers = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+        # The receiver stays open during a drain: the default action of a further signal
+        # would end the process.
+        with trio.open_signal_receiver(*signal_numbers) as signals:
+            async for signal_number in signals:
+                if signal_number == signal.SIGHUP:
                     _reload(node, path, log)
-                elif number == signal.SIGINT:
+                elif signal_number == signal.SIGINT:
                     nursery.cancel_scope.cancel()
                 elif not draining:
                     draining = True
@@ -42,9 +43,9 @@
     scope.cancel()
 
 
-async def _reload_from_time_to_time(node: HostedNode, path: str, log: EventLog) -> None:
+async def _reload_periodically(node: HostedNode, path: str, log: EventLog) -> None:
     while True:
-        await trio.sleep(RELOAD_POLL_S)
+        await trio.sleep(RELOAD_INTERVAL_S)
         _reload(node, path, log)
 
 
@@ -56,7 +57,7 @@
 
 
 def main() -> int:
-    """Run the node until it is told to stop; return the exit status."""
+    """Run the node until it is stopped by a signal; return the exit status."""
     try:
         path = settings_path()
         cfg = read_settings(path)
--- a/marigoldchute/platform/adapter.py
+++ b/marigoldchute/platform/adapter.py
@@ -1,4 +1,4 @@
-"""The platform as a ``HostAdapter``."""
+"""Implementation of ``HostAdapter`` for the platform."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class PlatformAdapter:
-    """Everything by which the platform differs from others.
+    """``HostAdapter`` for the platform: its store, bundles, orders and control API.
 
     Parameters
     ----------
--- a/marigoldchute/platform/bundle.py
+++ b/marigoldchute/platform/bundle.py
@@ -1,4 +1,4 @@
-"""The platform's configuration as a bundle."""
+"""Conversion of the platform's configuration to a bundle."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from marigoldchute.objectstore.documents import Document
 
-REPEATABLE_KIND = "idempotent"
-KNOWN_KINDS = frozenset((REPEATABLE_KIND, "non_idempotent", "upload"))
+REPEATABLE_ROUTE_KIND = "idempotent"
+ROUTE_KINDS = frozenset((REPEATABLE_ROUTE_KIND, "non_idempotent", "upload"))
 
 
 class _Part(msgspec.Struct, frozen=True):
@@ -34,7 +34,7 @@
     timeout_ms: float
     max_attempts: int
     priority: int
-    # Latency objective of the whole answer, not a limit.
+    # Latency objective for the whole response; it limits nothing.
     target_latency_ms: float = 0.0
     service: str = ""
     weighted_services: list[_Part] = []
@@ -47,7 +47,7 @@
 
 class _Service(msgspec.Struct, frozen=True):
     name: str
-    # Of each backend server, from all callers combined.
+    # Limit of each backend server, for all callers together.
     max_connections: int = 0
 
 
@@ -74,20 +74,23 @@
     def decode(self, document: Document) -> tuple[int, BundleContent]:
         """Return the version and the content of a document."""
         try:
-            found = msgspec.convert(document.content, _Configuration, strict=False)
-            version = int(found.version, 16)
-            return version, _to_content(found)
+            configuration = msgspec.convert(
+                document.content, _Configuration, strict=False
+            )
+            version = int(configuration.version, 16)
+            return version, _to_content(configuration)
         except (msgspec.ValidationError, ValueError) as exc:
             raise BundleError(f"configuration is malformed: {exc}") from exc
 
 
-def _to_content(found: _Configuration) -> BundleContent:
+def _to_content(configuration: _Configuration) -> BundleContent:
     services = tuple(
-        Service(s.name, "", max_connections=s.max_connections) for s in found.services
+        Service(s.name, "", max_connections=s.max_connections)
+        for s in configuration.services
     )
-    hosts = found.virtual_hosts
+    hosts = configuration.virtual_hosts
     routes = tuple(_to_route(h.host, path) for h in hosts for path in h.paths)
-    limits = found.limits
+    limits = configuration.limits
     return BundleContent(
         services,
         routes,
@@ -102,7 +105,7 @@
 
 
 def _to_route(host: str, path: _Path) -> Route:
-    if path.route_kind not in KNOWN_KINDS:
+    if path.route_kind not in ROUTE_KINDS:
         raise ValueError(f"route {path.name!r} has the kind {path.route_kind!r}")
     parts = tuple(RoutePart(p.service, p.weight) for p in path.weighted_services)
     return Route(
@@ -116,6 +119,6 @@
         "",
         host,
         parts,
-        path.route_kind == REPEATABLE_KIND,
+        path.route_kind == REPEATABLE_ROUTE_KIND,
         int(path.target_latency_ms),
     )
--- a/marigoldchute/platform/control.py
+++ b/marigoldchute/platform/control.py
@@ -1,4 +1,4 @@
-"""The platform's calls to a node: reports of backend servers and readiness."""
+"""HTTP API of a node for the platform: backend server reports and readiness."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     from marigoldchute.routing.http_request import HttpRequest, HttpResponder
     from marigoldchute.util.clock import Clock
 
-INSTANCES = "/api/instances/"
-READINESS = b"/api/readiness"
+INSTANCES_PREFIX = "/api/instances/"
+READINESS_PATH = b"/api/readiness"
 MAX_REPORT_BYTES = 16_384
 MAX_SLOTS = 100_000
-_DRAINING = {"ready": False, "draining": True}
+_IS_DRAINING = {"ready": False, "draining": True}
 
 
 class _Info(msgspec.Struct, frozen=True):
@@ -46,16 +46,16 @@
 
 
 class ControlApi:
-    """Answers the backend server on this VM, and the platform's question.
+    """Handle reports of this VM's backend server and the platform's readiness checks.
 
     Parameters
     ----------
     registry : LocalRegistry
-        Takes reports.
-    backend : Endpoint
-        Where the backend server of this VM listens.
+        Registry that the reports are passed to.
+    backend : callable
+        Returns the address and port of the backend server of this VM.
     is_ready : callable
-        Whether callers may be sent here.
+        Returns whether this node accepts callers.
     clock : Clock
         Wall clock of the process.
     """
@@ -75,56 +75,56 @@
     async def handle_readiness(
         self, req: HttpRequest, responder: HttpResponder
     ) -> None:
-        """Say whether callers may be sent to this node."""
-        if req.target != READINESS:
-            await _answer(responder, 404, "")
+        """Respond 200 when this node accepts callers, 503 otherwise."""
+        if req.target != READINESS_PATH:
+            await _send_response(responder, 404, "")
         elif self._is_ready():
-            await _answer(responder, 200, "")
+            await _send_response(responder, 200, "")
         else:
-            await _answer(responder, 503, "")
+            await _send_response(responder, 503, "")
 
     async def handle_control(self, req: HttpRequest, responder: HttpResponder) -> None:
-        """Take what the backend server of this VM tells of itself."""
+        """Handle a report or the deregistration of this VM's backend server."""
         body = b""
         while (data := await req.receive()) is not None:
             body += data
             if len(body) > MAX_REPORT_BYTES:
-                await _answer(responder, 413, "report is too large")
+                await _send_response(responder, 413, "report is too large")
                 return
         path = req.target.decode("latin-1")
-        if req.method != b"POST" or not path.startswith(INSTANCES):
-            await _answer(responder, 404, "no such call")
+        if req.method != b"POST" or not path.startswith(INSTANCES_PREFIX):
+            await _send_response(responder, 404, "unknown path or operation")
             return
-        instance, _, call = path[len(INSTANCES) :].partition("/")
-        if call == "heartbeat":
-            error = self._take_report(instance, body)
-        elif call == "deregister":
+        instance, _, operation = path[len(INSTANCES_PREFIX) :].partition("/")
+        if operation == "heartbeat":
+            error = self._apply_report(instance, body)
+        elif operation == "deregister":
             self._registry.take_leave(instance, self._clock.now_ms())
             error = ""
         else:
-            await _answer(responder, 404, "no such call")
+            await _send_response(responder, 404, "unknown path or operation")
             return
-        await _answer(responder, 400 if error else 200, error)
+        await _send_response(responder, 400 if error else 200, error)
 
-    def _take_report(self, instance: str, body: bytes) -> str:
-        """Take a report; return what is wrong with it, if anything."""
+    def _apply_report(self, instance: str, body: bytes) -> str:
+        """Apply a report; return an error text, empty when the report is valid."""
         try:
-            found = msgspec.json.decode(body, type=_Report)
+            decoded = msgspec.json.decode(body, type=_Report)
         except msgspec.DecodeError as exc:
             return f"report is malformed: {exc}"
-        address, _, port = found.address.rpartition(":")
+        address, _, port = decoded.address.rpartition(":")
         backend = self._backend()
         if (address, port) != (backend.address, str(backend.port)):
-            return f"{found.address} is not on this VM"
-        info, status = found.info, found.status
-        draining = _DRAINING.get(status.state)
+            return f"{decoded.address} is not the address of this VM's backend server"
+        info, status = decoded.info, decoded.status
+        draining = _IS_DRAINING.get(status.state)
         if draining is None:
-            return f"state {status.state!r} is not known"
+            return f"state {status.state!r} is unknown"
         if not instance or not info.service or not 1 <= info.slots <= MAX_SLOTS:
-            return "id, service or slots is not allowed"
+            return "instance id, service or slots is invalid"
         report = StateReport(
             instance,
-            found.born,
+            decoded.born,
             status.sequence,
             info.service,
             info.version,
@@ -138,7 +138,7 @@
         return ""
 
 
-async def _answer(responder: HttpResponder, status: int, error: str) -> None:
+async def _send_response(responder: HttpResponder, status: int, error: str) -> None:
     value = {"error": error, "code": ResultCode.ANNOUNCEMENT_INVALID} if error else {}
     body = msgspec.json.encode(value)
     headers = [
--- a/marigoldchute/platform/orders.py
+++ b/marigoldchute/platform/orders.py
@@ -1,4 +1,4 @@
-"""The platform's rollouts as orders, and verdicts as their status."""
+"""Conversion between the platform's rollouts and the mesh's orders."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from marigoldchute.objectstore.documents import Document, DocumentStore
     from marigoldchute.orders.model import OrderState
 
-_WORDS = {
+_STATE_BY_STAGE = {
     OrderStage.RUNNING: "running",
     OrderStage.DONE: "succeeded",
     OrderStage.TAKEN_BACK: "rolled_back",
 }
-_STAGES = {word: stage for stage, word in _WORDS.items()}
+_STAGE_BY_STATE = {state: stage for stage, state in _STATE_BY_STAGE.items()}
 
 
 class _Order(msgspec.Struct, frozen=True):
@@ -30,7 +30,8 @@
 class _Status(msgspec.Struct, frozen=True):
     state: str
     target_version: str
-    # Ours: releases of earlier orders that were taken back, and the order's age.
+    # Fields of this project: releases of earlier orders that were taken back, and the
+    # order's age.
     rejected: list[str] = []
     elapsed_ms: int = 0
 
@@ -59,9 +60,12 @@
         rejected = set(status.rejected) if status is not None else set()
         stage, elapsed_ms = OrderStage.WAITING, 0
         if status is not None and status.target_version == order.target_version:
-            stage = _STAGES.get(status.state, OrderStage.WAITING)
+            stage = _STAGE_BY_STATE.get(status.state, OrderStage.WAITING)
             elapsed_ms = status.elapsed_ms
-        elif status is not None and status.state == _WORDS[OrderStage.TAKEN_BACK]:
+        elif (
+            status is not None
+            and status.state == _STATE_BY_STAGE[OrderStage.TAKEN_BACK]
+        ):
             rejected.add(status.target_version)
         rejected.discard(order.target_version)
         return OrderDocument(
@@ -75,15 +79,15 @@
         )
 
     async def read(self, service: str) -> OrderDocument:
-        """Return the order of a service as the store holds it now."""
+        """Read the present order of a service from the store."""
         return self.decode(await self._store.get(self.kind, service))
 
     async def write(
         self, document: OrderDocument, state: OrderState, elapsed_ms: int
     ) -> OrderDocument:
-        """Write an order's status if its document has not changed since."""
+        """Write an order's status unless its document has changed since it was read."""
         status = _Status(
-            _WORDS[OrderStage(state.stage)],
+            _STATE_BY_STAGE[OrderStage(state.stage)],
             state.target,
             list(state.rejected),
             elapsed_ms,
@@ -101,4 +105,4 @@
     try:
         return msgspec.convert(document.status, _Status, strict=False)
     except msgspec.ValidationError:
-        return None  # No status, or one that another writer left: nothing is decided.
+        return None  # No status, or one of another writer: there is no verdict.
--- a/marigoldchute/platform/settings.py
+++ b/marigoldchute/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file as settings of a hosted node."""
+"""Conversion of the platform's settings file to the settings of a hosted node."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from marigoldchute.routing.dialect import Dialect
 
 SETTINGS_VARIABLE = "MARIGOLDCHUTE_BOOT"
-STORE_CALLS_PER_S = 8.0  # Two watches of a reader in a storm, and some to spare.
+STORE_CALLS_PER_S = 8.0  # Two watches of a reader in a burst of changes, with slack.
 STORE_BURST_CALLS = 40.0
 STORE_TIMEOUT_MS = 1_500
-METRICS_PORT = 9_464  # The deploy file names it too; it does not change by the day.
+METRICS_PORT = 9_464  # Fixed, because the deployment file names it as well.
 
 DIALECT = Dialect(
     deadline=b"deadline-ms",
@@ -55,24 +55,24 @@
     Raises
     ------
     SettingsError
-        The environment does not name it.
+        The environment variable that names it is not set.
     """
     path = os.environ.get(SETTINGS_VARIABLE)
     if not path:
         raise SettingsError(
-            f"{SETTINGS_VARIABLE} does not name a settings file",
+            f"{SETTINGS_VARIABLE} is not set to the path of a settings file",
             ResultCode.SETTINGS_UNREADABLE,
         )
     return path
 
 
 def read_settings(path: str) -> HostedSettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises
     ------
     SettingsError
-        The file cannot be read or is not allowed.
+        The file cannot be read or is invalid.
     """
     try:
         with open(path, "rb") as file:
@@ -85,36 +85,38 @@
 
 
 def parse_settings(data: bytes, source: str) -> HostedSettings:
-    """Check the content of a settings file.
+    """Parse and validate the content of a settings file.
 
     Parameters
     ----------
     data : bytes
         Content of the file.
     source : str
-        Its name, for messages.
+        Name of the file for error messages.
 
     Raises
     ------
     SettingsError
-        The content is not allowed.
+        The content is invalid.
     """
     try:
-        found = msgspec.json.decode(data, type=_File)
+        decoded = msgspec.json.decode(data, type=_File)
     except msgspec.DecodeError as exc:
         raise SettingsError(f"{source}: {exc}") from exc
-    ports = found.internal_port_range
+    ports = decoded.internal_port_range
     if len(ports) != 2 or ports[1] <= ports[0]:
-        raise SettingsError(f"{source}: internal_port_range: expected two ports")
-    store = parse_endpoint(f"{source}: platform.address", found.platform.address)
-    listen = found.listen
+        raise SettingsError(
+            f"{source}: internal_port_range: expected two ascending ports"
+        )
+    store = parse_endpoint(f"{source}: platform.address", decoded.platform.address)
+    listen = decoded.listen
     return HostedSettings(
-        found.node,
-        found.ip,
-        found.zone,
-        found.region,
-        found.service,
-        parse_endpoint(f"{source}: app_addr", found.app_addr),
+        decoded.node,
+        decoded.ip,
+        decoded.zone,
+        decoded.region,
+        decoded.service,
+        parse_endpoint(f"{source}: app_addr", decoded.app_addr),
         parse_endpoint(f"{source}: listen.outbound", listen.get("outbound")),
         parse_endpoint(f"{source}: listen.control", listen.get("control")),
         parse_endpoint(f"{source}: listen.ready", listen.get("ready")),
@@ -127,23 +129,23 @@
             STORE_BURST_CALLS,
             STORE_TIMEOUT_MS,
         ),
-        found.heartbeat_ms,
-        _parse_bounds(found.bounds, source),
+        decoded.heartbeat_ms,
+        _parse_bounds(decoded.bounds, source),
     )
 
 
-def _parse_bounds(texts: list[str], source: str) -> Bounds:
-    given: dict[str, Any] = {}
-    for text in texts:
-        name, _, value = text.partition("=")
+def _parse_bounds(assignments: list[str], source: str) -> Bounds:
+    values: dict[str, Any] = {}
+    for assignment in assignments:
+        name, _, value = assignment.partition("=")
         try:
-            given[name] = float(value)
+            values[name] = float(value)
         except ValueError:
-            continue  # A bound that is true or false; none of those is used.
-    usual = Bounds()
+            continue  # The value is a boolean; no boolean bound is used.
+    defaults = Bounds()
     return Bounds(
-        given.get("grace_s", usual.grace_s),
-        given.get("retry_ratio", usual.retry_share),
-        given.get("retry_slack", usual.retry_slack),
-        given.get("budget_window_s", usual.retry_window_s),
+        values.get("grace_s", defaults.grace_s),
+        values.get("retry_ratio", defaults.retry_share),
+        values.get("retry_slack", defaults.retry_slack),
+        values.get("budget_window_s", defaults.retry_window_s),
     )
--- a/marigoldchute/platform/store.py
+++ b/marigoldchute/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store as a ``DocumentStore``."""
+"""Implementation of ``DocumentStore`` for the platform's store."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 class _Metadata(msgspec.Struct, frozen=True):
     name: str
     revision: int = 0
-    # Keeps a deleted object until it is empty; this project sets none.
+    # A deleted object is kept until this list is empty; this project sets none.
     finalizers: list[str] = []
     deleting: bool = False
 
@@ -57,16 +57,16 @@
 
 
 class PlatformDocumentStore:
-    """``DocumentStore`` over the platform's protocol.
+    """``DocumentStore`` that uses the platform's HTTP protocol.
 
     Parameters
     ----------
     settings : StoreSettings
-        Address, call budget and time limit.
+        Address, call budget and timeout.
     rng : random.Random
         Source of back-off jitter.
     local_address : str
-        IP number from which connections are opened.
+        IP address from which connections are opened.
     """
 
     def __init__(
@@ -76,39 +76,39 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether recent calls were answered."""
+        """Whether recent calls got a response."""
         return self._caller.is_reachable
 
     @property
     def fastest_s(self) -> float:
-        """Shortest time in seconds in which a call was answered."""
+        """Shortest response time of a call in seconds."""
         return self._caller.fastest_s
 
     @property
     def calls(self) -> int:
-        """Calls made since the start."""
+        """Number of calls since the start."""
         return self._caller.calls
 
     async def list(self, kind: str, stale_allowed: bool = False) -> DocumentPage:
-        """Return every document of a kind."""
-        found: list[Document] = []
+        """Return all documents of a kind."""
+        documents: list[Document] = []
         query = {"allow_stale": "1"} if stale_allowed else {}
         while True:
             page = await self._caller.call(_decode_page, "GET", _path(kind, **query))
-            found += [_to_document(kind, item) for item in page.items]
+            documents += [_to_document(kind, item) for item in page.items]
             if not page.more or not page.items:
-                return DocumentPage(tuple(found), page.at)
+                return DocumentPage(tuple(documents), page.at)
             query["after"] = page.items[-1].metadata.name
 
     async def get(self, kind: str, name: str) -> Document:
-        """Return one document or raise ``NotFoundError``."""
-        found = await self._caller.call(_decode_object, "GET", _path(kind, name))
-        return _to_document(kind, found)
+        """Return a document; raise ``NotFoundError`` when it does not exist."""
+        item = await self._caller.call(_decode_object, "GET", _path(kind, name))
+        return _to_document(kind, item)
 
     async def changes(
         self, kind: str, after_revision: int, wait_ms: int
     ) -> DocumentPage:
-        """Wait for changes of a kind after a revision."""
+        """Wait for and return the changes of a kind after a revision."""
         path = _path(kind, watch=str(after_revision), wait_ms=str(wait_ms))
         page = await self._caller.call(_decode_events, "GET", path, wait_ms=wait_ms)
         documents = tuple(
@@ -117,14 +117,14 @@
         return DocumentPage(documents, page.at)
 
     async def create(self, kind: str, name: str, content: Any) -> Document:
-        """Create a document; raises ``ConflictError`` when it exists."""
+        """Create a document; raise ``ConflictError`` when it exists."""
         body = {"metadata": {"name": name}, "spec": content}
         return await self._write(kind, "POST", _path(kind), body)
 
     async def replace(
         self, kind: str, name: str, content: Any, expected_revision: int
     ) -> Document:
-        """Replace a document's content if its revision is as expected."""
+        """Replace a document's content if its revision is the expected one."""
         body = {
             "metadata": {"name": name, "revision": expected_revision},
             "spec": content,
@@ -134,7 +134,7 @@
     async def write_status(
         self, kind: str, name: str, status: Any, expected_revision: int
     ) -> Document:
-        """Replace a document's status if its revision is as expected."""
+        """Replace a document's status if its revision is the expected one."""
         body = {
             "metadata": {"name": name, "revision": expected_revision},
             "status": status,
@@ -143,9 +143,9 @@
         return await self._write(kind, "PUT", path, body)
 
     async def delete(self, kind: str, name: str) -> None:
-        """Delete a document; one that does not exist is no error."""
+        """Delete a document if it exists."""
         try:
-            await self._caller.call(_ignore, "DELETE", _path(kind, name), b"")
+            await self._caller.call(_ignore_body, "DELETE", _path(kind, name), b"")
         except NotFoundError:
             return
 
@@ -166,11 +166,11 @@
 
 def _to_document(kind: str, item: _Object, deleted: bool = False) -> Document:
     metadata = item.metadata
-    gone = deleted or metadata.deleting
+    is_deleted = deleted or metadata.deleting
     return Document(
-        kind, metadata.name, metadata.revision, item.spec, item.status, gone
+        kind, metadata.name, metadata.revision, item.spec, item.status, is_deleted
     )
 
 
-def _ignore(body: bytes, method: str) -> None:
-    """Answer to a deletion: its status has said all."""
+def _ignore_body(body: bytes, method: str) -> None:
+    """Ignore the response body of a deletion; only its status matters."""
--- a/tests/support/documents.py
+++ b/tests/support/documents.py
@@ -1,4 +1,4 @@
-"""Stand-in for a platform's store of documents, with switchable faults."""
+"""Stand-in for the platform's document store with configurable faults."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 PREFIX = "/api/objects/"
 MAX_BODY_BYTES = 2_000_000
-POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 
 
 @dataclasses.dataclass
 class DocumentFaults:
-    """Faults of the stand-in; each is in force until it is changed.
+    """Faults of the stand-in; each is active until it is changed.
 
     Parameters
     ----------
     refused_status : int
-        Status with which every call is refused; 0 for none.
+        Status with which all calls are refused; 0 for none.
     lose_replies : int
-        Number of further writes that are done and not answered.
+        Number of further writes that are applied without a response.
     silent : bool
-        Whether calls get no answer at all.
+        Whether calls get no response at all.
     """
 
     refused_status: int = 0
@@ -39,9 +39,9 @@
 
 
 @dataclasses.dataclass
-class _Stored:
+class _StoredDocument:
     name: str
-    created: int
+    create_revision: int
     revision: int
     spec: Any
     status: Any = None
@@ -50,7 +50,7 @@
         metadata = {
             "name": self.name,
             "revision": self.revision,
-            "create_revision": self.created,
+            "create_revision": self.create_revision,
             "finalizers": [],
             "deleting": False,
         }
@@ -58,7 +58,7 @@
 
 
 class DocumentStandIn:
-    """Documents in memory behind the platform's protocol.
+    """Document store in memory that serves the platform's HTTP protocol.
 
     Attributes
     ----------
@@ -69,10 +69,10 @@
     def __init__(self) -> None:
         self.faults = DocumentFaults()
         self.calls: list[str] = []
-        self._kinds: dict[str, dict[str, _Stored]] = {}
-        self._log: list[tuple[int, str, bool, dict[str, Any]]] = []
+        self._kinds: dict[str, dict[str, _StoredDocument]] = {}
+        self._events: list[tuple[int, str, bool, dict[str, Any]]] = []
         self._revision = 1
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._edge = HttpEdge(self._handle)
 
     async def serve(
@@ -86,28 +86,28 @@
 
     def put(self, kind: str, name: str, spec: Any) -> int:
         """Write a document as an operator does; return its revision."""
-        held = self._kinds.setdefault(kind, {}).get(name)
+        stored = self._kinds.setdefault(kind, {}).get(name)
         self._revision += 1
-        if held is None:
-            held = _Stored(name, self._revision, self._revision, spec)
-            self._kinds[kind][name] = held
-        held.spec, held.revision = spec, self._revision
-        self._note(kind, held, False)
+        if stored is None:
+            stored = _StoredDocument(name, self._revision, self._revision, spec)
+            self._kinds[kind][name] = stored
+        stored.spec, stored.revision = spec, self._revision
+        self._append_event(kind, stored, False)
         return self._revision
 
     def status_of(self, kind: str, name: str) -> Any:
-        """Return the status of a document, None when there is none."""
-        held = self._kinds.get(kind, {}).get(name)
-        return None if held is None else held.status
+        """Return the status of a document, None without a document or status."""
+        stored = self._kinds.get(kind, {}).get(name)
+        return None if stored is None else stored.status
 
     def names(self, kind: str) -> list[str]:
         """Return the names of the documents of a kind."""
         return sorted(self._kinds.get(kind, {}))
 
     def compact(self) -> None:
-        """Forget the history: watches from before get 410."""
-        self._forgotten = self._revision
-        self._log.clear()
+        """Discard the history; watches of earlier revisions get status 410."""
+        self._compacted_revision = self._revision
+        self._events.clear()
 
     async def _handle(self, req: HttpRequest, responder: HttpResponder) -> None:
         body = b""
@@ -117,7 +117,9 @@
         if self.faults.silent:
             await trio.sleep_forever()
         if self.faults.refused_status:
-            await _answer(responder, self.faults.refused_status, {"error": "fault"})
+            await _send_response(
+                responder, self.faults.refused_status, {"error": "fault"}
+            )
             return
         path, _, text = req.target.decode().partition("?")
         query = dict(urllib.parse.parse_qsl(text))
@@ -130,71 +132,73 @@
                 self.faults.lose_replies -= 1
                 responder.abort()
                 return
-        await _answer(responder, status, value)
+        await _send_response(responder, status, value)
 
     async def _read(self, parts: list[str], query: dict[str, str]) -> tuple[int, Any]:
-        found = self._kinds.get(parts[0], {})
+        documents = self._kinds.get(parts[0], {})
         if len(parts) > 1:
-            held = found.get(parts[1])
-            return (404, {}) if held is None else (200, held.to_wire())
+            stored = documents.get(parts[1])
+            return (404, {}) if stored is None else (200, stored.to_wire())
         if "watch" in query:
             return await self._watch(parts[0], query)
         after = query.get("after", "")
-        items = [found[name].to_wire() for name in sorted(found) if name > after]
+        items = [
+            documents[name].to_wire() for name in sorted(documents) if name > after
+        ]
         return 200, {"items": items, "more": False, "at": self._revision}
 
     async def _watch(self, kind: str, query: dict[str, str]) -> tuple[int, Any]:
-        position = int(query["watch"])
-        if position < self._forgotten:
-            return 410, {"error": "history is gone"}
+        after_revision = int(query["watch"])
+        if after_revision < self._compacted_revision:
+            return 410, {"error": "history was compacted"}
         events: list[dict[str, Any]] = []
         with trio.move_on_after(int(query.get("wait_ms", "0")) / 1000):
             while not events:
                 events = [
                     {"object": item, "deleted": deleted}
-                    for revision, of, deleted, item in self._log
-                    if of == kind and revision > position
+                    for revision, event_kind, deleted, item in self._events
+                    if event_kind == kind and revision > after_revision
                 ]
                 if not events:
-                    await trio.sleep(POLL_S)
+                    await trio.sleep(POLL_INTERVAL_S)
         return 200, {"events": events, "at": self._revision}
 
     def _write(self, method: bytes, parts: list[str], body: bytes) -> tuple[int, Any]:
         kind = parts[0]
-        found = self._kinds.setdefault(kind, {})
+        documents = self._kinds.setdefault(kind, {})
         if method == b"DELETE":
-            held = found.pop(parts[1], None)
-            if held is None:
+            stored = documents.pop(parts[1], None)
+            if stored is None:
                 return 404, {}
             self._revision += 1
-            self._note(kind, held, True)
+            self._append_event(kind, stored, True)
             return 200, {}
         value = msgspec.json.decode(body)
         name = value["metadata"]["name"]
-        held = found.get(name)
+        stored = documents.get(name)
         if method == b"POST":
-            if held is not None:
-                return 409, held.to_wire()
+            if stored is not None:
+                return 409, stored.to_wire()
             self.put(kind, name, value.get("spec"))
-            return 200, found[name].to_wire()
-        if held is None:
+            return 200, documents[name].to_wire()
+        if stored is None:
             return 404, {}
         expected = value["metadata"].get("revision")
-        if expected is not None and expected != held.revision:
-            return 409, held.to_wire()
+        if expected is not None and expected != stored.revision:
+            return 409, stored.to_wire()
         field = "status" if parts[-1] == "status" and len(parts) > 2 else "spec"
-        if getattr(held, field) != value.get(field):
+        if getattr(stored, field) != value.get(field):
             self._revision += 1
-            setattr(held, field, value.get(field))
-            held.revision = self._revision
-            self._note(kind, held, False)
-        return 200, held.to_wire()
+            setattr(stored, field, value.get(field))
+            stored.revision = self._revision
+            self._append_event(kind, stored, False)
+        return 200, stored.to_wire()
 
-    def _note(self, kind: str, held: _Stored, deleted: bool) -> None:
-        self._log.append((self._revision, kind, deleted, held.to_wire()))
+    def _append_event(self, kind: str, stored: _StoredDocument, deleted: bool) -> None:
+        self._events.append((self._revision, kind, deleted, stored.to_wire()))
 
 
-async def _answer(responder: HttpResponder, status: int, value: Any) -> None:
+async def _send_response(responder: HttpResponder, status: int, value: Any) -> None:
     body = msgspec.json.encode(value)
     headers = [
         (b"content-type", b"application/json"),
--- a/tests/support/soak.py
+++ b/tests/support/soak.py
@@ -1,4 +1,4 @@
-"""Seeded faults on a hosted mesh of real processes, and what must hold after them."""
+"""Soak of a hosted mesh of real processes with seeded faults."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     from tests.support.hosted import HostedMesh
 
 SERVICES = ("turnos", "reservas", "turnos", "turnos")
-CALL_INTERVAL_S = 0.04
-CALL_TIMEOUT_S = 8.0
+REQUEST_INTERVAL_S = 0.04
+REQUEST_TIMEOUT_S = 8.0
 DEADLINE_MS = 2500
-RECOVERY_S = 15.0  # As the users' bound recovery_s.
-LATE_RUN_S = 3.0  # A request that was refused may not run later either.
+RECOVERY_S = 15.0  # Equal to the users' bound recovery_s.
+LATE_RUN_WAIT_S = 3.0  # A refused request must not be executed within this time.
 MAX_BODY_BYTES = 100_000
-PROMISES_NOT_RUN = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
-class Trouble(enum.Enum):
-    """Kinds of faults."""
+class FaultKind(enum.Enum):
+    """Kind of a fault."""
 
     KILL = "kill"
     KILL_ALL = "kill_all"
@@ -50,131 +50,141 @@
     ----------
     at_s : float
         Seconds after the start of traffic.
-    trouble : Trouble
-        What happens.
+    kind : FaultKind
+        Kind of the fault.
     vm : str
-        VM that is concerned, unless all or the store are.
-    for_s : float
-        Seconds for which it lasts, or after which the process is started again.
+        Affected VM, unused when the fault affects all VMs or the store.
+    duration_s : float
+        Seconds until the fault ends or the process is started again.
     """
 
     at_s: float
-    trouble: Trouble
+    kind: FaultKind
     vm: str
-    for_s: float
+    duration_s: float
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
-    """What a caller was told of one request.
+class CallerResult:
+    """Result of one request as its caller received it.
 
     Parameters
     ----------
     request_id : str
-        Id of the request.
+        Identifier of the request.
     size : int
-        Bytes of its body.
+        Size of its body in bytes.
     status : int
-        Status of the answer, 0 for none.
-    echo : str
-        Id that the answer bears.
+        Status of the response, 0 without a response.
+    echoed_id : str
+        Request identifier in the response.
     content : bytes
-        Body of the answer.
+        Body of the response.
     """
 
     request_id: str
     size: int
     status: int
-    echo: str = ""
+    echoed_id: str = ""
     content: bytes = b""
 
 
-def draw_plan(seed: int, last_s: float, names: list[str]) -> list[Fault]:
-    """Draw faults that follow one another and overlap, the same for a seed.
+def draw_plan(seed: int, fault_period_s: float, names: list[str]) -> list[Fault]:
+    """Return a plan of overlapping faults, always the same for a seed.
 
     Parameters
     ----------
     seed : int
         Seed of the plan.
-    last_s : float
-        Time after which no fault begins.
+    fault_period_s : float
+        Seconds after the start of traffic from which on no fault begins.
     names : list of str
         Names of the VMs.
     """
     rng = random.Random(seed)
     faults = []
     at_s = rng.uniform(0.2, 1.0)
-    while at_s < last_s:
+    while at_s < fault_period_s:
         fault = Fault(
-            at_s, rng.choice(list(Trouble)), rng.choice(names), rng.uniform(0.2, 2.5)
+            at_s, rng.choice(list(FaultKind)), rng.choice(names), rng.uniform(0.2, 2.5)
         )
         faults.append(fault)
         at_s += rng.uniform(0.1, 1.8)
     return faults
 
 
-def find_lies(told: list[Told], runs: dict[str, list[str]]) -> list[str]:
-    """Return what callers were told untruly, and requests that ran too often.
+def find_violations(
+    results: list[CallerResult], executions: dict[str, list[str]]
+) -> list[str]:
+    """Return wrong results of callers and requests that were executed twice.
 
     Parameters
     ----------
-    told : list of Told
-        What callers were told.
-    runs : dict of str to list of str
-        Backend servers that ran each request.
+    results : list of CallerResult
+        Results of the callers.
+    executions : dict of str to list of str
+        Names of the backend servers that executed each request, by request.
     """
-    lies = []
-    for item in told:
-        ran = runs.get(item.request_id, [])
-        if len(ran) > 1:
-            lies.append(f"{item.request_id} ran on {ran}")
-        if item.status in PROMISES_NOT_RUN and ran:
-            lies.append(f"{item.request_id} was told {item.status} and ran on {ran}")
-        if item.status == 200:
-            expected = f"{ran[0] if ran else 'no server'} {item.size}".encode()
-            if item.echo != item.request_id or item.content != expected:
-                lies.append(f"{item.request_id} got {item.content!r} of {item.echo}")
-    return lies
+    violations = []
+    for result in results:
+        servers = executions.get(result.request_id, [])
+        if len(servers) > 1:
+            violations.append(f"{result.request_id} was executed on {servers}")
+        if result.status in NOT_RUN_STATUSES and servers:
+            violations.append(
+                f"{result.request_id} got status {result.status} "
+                f"but was executed on {servers}"
+            )
+        if result.status == 200:
+            expected = (
+                f"{servers[0] if servers else 'no server'} {result.size}".encode()
+            )
+            if result.echoed_id != result.request_id or result.content != expected:
+                violations.append(
+                    f"{result.request_id} got body {result.content!r} "
+                    f"for request {result.echoed_id}"
+                )
+    return violations
 
 
 class Soak:
-    """Plays a plan under load and checks what must hold.
+    """Run a plan of faults under load and check the results of all requests.
 
     Parameters
     ----------
     seed : int
         Seed of the plan, the callers and the sizes.
-    last_s : float
-        Time after which no fault begins.
+    fault_period_s : float
+        Seconds after the start of traffic from which on no fault begins.
     """
 
-    def __init__(self, seed: int, last_s: float) -> None:
+    def __init__(self, seed: int, fault_period_s: float) -> None:
         self._rng = random.Random(f"callers {seed}")
         self._seed = seed
-        self._last_s = last_s
+        self._fault_period_s = fault_period_s
         self._paused: set[str] = set()
-        self._ended: set[str] = set()
-        self._changes = 0
-        self.told: list[Told] = []
+        self._stopped: set[str] = set()
+        self._change_count = 0
+        self.told: list[CallerResult] = []
         self.lies: list[str] = []
 
-    def play(self, limit_s: float) -> None:
-        """Play the plan; ``lies`` then holds what was broken.
+    def play(self, timeout_s: float) -> None:
+        """Run the plan and store all violations in ``lies``.
 
         Parameters
         ----------
-        limit_s : float
-            Seconds that all of it may take.
+        timeout_s : float
+            Timeout of the whole run in seconds.
 
         Raises
         ------
         trio.TooSlowError
-            The mesh did not serve, or not by the newest configuration, within
-            ``RECOVERY_S`` after the last fault, or all took too long.
+            The mesh did not serve requests by the latest configuration within
+            ``RECOVERY_S`` after the last fault, or the run exceeded its timeout.
         """
 
         async def main() -> None:
-            with trio.fail_after(limit_s):
+            with trio.fail_after(timeout_s):
                 await self._run()
 
         trio.run(main)
@@ -183,115 +193,119 @@
         async with hosted_mesh(*SERVICES) as mesh:
             await mesh.wait_served()
             async with trio.open_nursery() as callers:
-                callers.start_soon(self._call_steadily, mesh)
+                callers.start_soon(self._send_requests, mesh)
                 async with trio.open_nursery() as faults:
-                    for fault in draw_plan(self._seed, self._last_s, mesh.names):
-                        faults.start_soon(self._play, mesh, fault)
+                    for fault in draw_plan(
+                        self._seed, self._fault_period_s, mesh.names
+                    ):
+                        faults.start_soon(self._inject, mesh, fault)
                 with trio.fail_after(RECOVERY_S):
-                    await self._wait_recovered(mesh)
+                    await self._wait_until_recovered(mesh)
                 callers.cancel_scope.cancel()
-            await trio.sleep(LATE_RUN_S)
-            self.lies = find_lies(self.told, _count_runs(mesh))
+            await trio.sleep(LATE_RUN_WAIT_S)
+            self.lies = find_violations(self.told, _executions_by_request(mesh))
 
-    async def _play(self, mesh: HostedMesh, fault: Fault) -> None:
+    async def _inject(self, mesh: HostedMesh, fault: Fault) -> None:
         await trio.sleep(fault.at_s)
-        plays: dict[Trouble, Callable[[HostedMesh, Fault], Awaitable[None]]] = {
-            Trouble.KILL: self._kill,
-            Trouble.KILL_ALL: self._kill_all,
-            Trouble.STOP: self._stop,
-            Trouble.PAUSE: self._pause,
-            Trouble.STORE_REFUSES: self._refuse,
-            Trouble.STORE_SILENT: self._silence,
-            Trouble.CHANGE: self._change,
-            Trouble.SLOW_SERVER: self._slow,
+        injectors: dict[FaultKind, Callable[[HostedMesh, Fault], Awaitable[None]]] = {
+            FaultKind.KILL: self._kill,
+            FaultKind.KILL_ALL: self._kill_all,
+            FaultKind.STOP: self._stop,
+            FaultKind.PAUSE: self._pause,
+            FaultKind.STORE_REFUSES: self._refuse_store_calls,
+            FaultKind.STORE_SILENT: self._silence_store,
+            FaultKind.CHANGE: self._change_configuration,
+            FaultKind.SLOW_SERVER: self._slow_down_server,
         }
-        await plays[fault.trouble](mesh, fault)
+        await injectors[fault.kind](mesh, fault)
 
     async def _kill(self, mesh: HostedMesh, fault: Fault) -> None:
-        await self._end(mesh, [fault.vm], signal.SIGKILL, fault.for_s)
+        await self._restart(mesh, [fault.vm], signal.SIGKILL, fault.duration_s)
 
     async def _kill_all(self, mesh: HostedMesh, fault: Fault) -> None:
-        await self._end(mesh, mesh.names, signal.SIGKILL, fault.for_s)
+        await self._restart(mesh, mesh.names, signal.SIGKILL, fault.duration_s)
 
     async def _stop(self, mesh: HostedMesh, fault: Fault) -> None:
-        await self._end(mesh, [fault.vm], signal.SIGTERM, fault.for_s)
+        await self._restart(mesh, [fault.vm], signal.SIGTERM, fault.duration_s)
 
-    async def _end(
+    async def _restart(
         self,
         mesh: HostedMesh,
         names: list[str],
-        number: signal.Signals,
-        for_s: float,
+        signal_number: signal.Signals,
+        duration_s: float,
     ) -> None:
-        mine = [name for name in names if name not in self._ended]
-        self._ended.update(mine)
-        for name in mine:
-            mesh.signal_node(name, number)
+        claimed = [name for name in names if name not in self._stopped]
+        self._stopped.update(claimed)
+        for name in claimed:
+            mesh.signal_node(name, signal_number)
             if name in self._paused:
                 mesh.signal_node(name, signal.SIGCONT)
-        for name in mine:
+        for name in claimed:
             await mesh.wait_ended(name)
-        await trio.sleep(for_s)
-        for name in mine:
+        await trio.sleep(duration_s)
+        for name in claimed:
             mesh.start_node(name)
-            self._ended.discard(name)
+            self._stopped.discard(name)
 
     async def _pause(self, mesh: HostedMesh, fault: Fault) -> None:
-        if fault.vm in self._ended | self._paused:
+        if fault.vm in self._stopped | self._paused:
             return
         self._paused.add(fault.vm)
         mesh.signal_node(fault.vm, signal.SIGSTOP)
-        await trio.sleep(fault.for_s)
+        await trio.sleep(fault.duration_s)
         self._paused.discard(fault.vm)
-        if fault.vm not in self._ended:
+        if fault.vm not in self._stopped:
             mesh.signal_node(fault.vm, signal.SIGCONT)
 
-    async def _refuse(self, mesh: HostedMesh, fault: Fault) -> None:
+    async def _refuse_store_calls(self, mesh: HostedMesh, fault: Fault) -> None:
         mesh.store.faults.refused_status = 503
-        await trio.sleep(fault.for_s)
+        await trio.sleep(fault.duration_s)
         mesh.store.faults.refused_status = 0
 
-    async def _silence(self, mesh: HostedMesh, fault: Fault) -> None:
+    async def _silence_store(self, mesh: HostedMesh, fault: Fault) -> None:
         mesh.store.faults.silent = True
-        await trio.sleep(fault.for_s)
+        await trio.sleep(fault.duration_s)
         mesh.store.faults.silent = False
 
-    async def _change(self, mesh: HostedMesh, fault: Fault) -> None:
-        self._changes += 1
-        mesh.put_configuration(timeout_ms=2000 + self._changes)
+    async def _change_configuration(self, mesh: HostedMesh, fault: Fault) -> None:
+        self._change_count += 1
+        mesh.put_configuration(timeout_ms=2000 + self._change_count)
 
-    async def _slow(self, mesh: HostedMesh, fault: Fault) -> None:
+    async def _slow_down_server(self, mesh: HostedMesh, fault: Fault) -> None:
         backend = mesh.backends[fault.vm]
         backend.run_s = 0.6
-        await trio.sleep(fault.for_s)
+        await trio.sleep(fault.duration_s)
         backend.run_s = 0.02
 
-    async def _call_steadily(self, mesh: HostedMesh) -> None:
+    async def _send_requests(self, mesh: HostedMesh) -> None:
         async with trio.open_nursery() as nursery:
             while True:
                 name = self._rng.choice(mesh.names)
                 size = self._rng.choice((0, 20, MAX_BODY_BYTES))
                 request_id = f"{self._seed}-{len(self.told)}-{self._rng.random()}"
-                nursery.start_soon(self._call, mesh, name, request_id, size)
-                await trio.sleep(CALL_INTERVAL_S)
+                nursery.start_soon(self._send_request, mesh, name, request_id, size)
+                await trio.sleep(REQUEST_INTERVAL_S)
 
-    async def _call(
+    async def _send_request(
         self, mesh: HostedMesh, name: str, request_id: str, size: int
     ) -> None:
-        told = Told(request_id, size, 0)
-        with trio.move_on_after(CALL_TIMEOUT_S):
+        result = CallerResult(request_id, size, 0)
+        with trio.move_on_after(REQUEST_TIMEOUT_S):
             try:
-                answer = await mesh.ask(
+                response = await mesh.ask(
                     name, "/a/1", b"z" * size, request_id, DEADLINE_MS
                 )
             except (httpcore.NetworkError, httpcore.ProtocolError):
-                pass  # The node is down or was killed: the caller is told nothing.
+                pass  # The node is down or was killed: the caller gets no response.
             else:
-                echo = dict(answer.headers).get(b"attempt-id", b"").decode()
-                told = Told(request_id, size, answer.status, echo, answer.content)
-        self.told.append(told)
+                echoed_id = dict(response.headers).get(b"attempt-id", b"").decode()
+                result = CallerResult(
+                    request_id, size, response.status, echoed_id, response.content
+                )
+        self.told.append(result)
 
-    async def _wait_recovered(self, mesh: HostedMesh) -> None:
+    async def _wait_until_recovered(self, mesh: HostedMesh) -> None:
         await mesh.wait_served()
         mesh.put_configuration(prefix="/last/")
         for name in mesh.names:
@@ -299,9 +313,9 @@
                 await trio.sleep(0.05)
 
 
-def _count_runs(mesh: HostedMesh) -> dict[str, list[str]]:
-    runs: dict[str, list[str]] = collections.defaultdict(list)
+def _executions_by_request(mesh: HostedMesh) -> dict[str, list[str]]:
+    executions: dict[str, list[str]] = collections.defaultdict(list)
     for backend in mesh.backends.values():
-        for seen in backend.seen:
-            runs[seen.get("attempt-id", "")].append(backend.name)
-    return runs
+        for request in backend.seen:
+            executions[request.get("attempt-id", "")].append(backend.name)
+    return executions
--- a/tests/test_platform/test_adapter.py
+++ b/tests/test_platform/test_adapter.py
@@ -1,4 +1,4 @@
-"""What the platform says, decoded into the project's own types."""
+"""Decoding of the platform's settings, configuration and orders."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_a_file_becomes_settings_and_unknown_fields_are_ignored(self) -> None:
+    def test_settings_are_decoded_and_unknown_fields_are_ignored(self) -> None:
         cfg = parse_settings(make_settings(), "f")
         self.assertEqual((cfg.callers.port, cfg.backend.port), (8629, 8628))
         self.assertEqual((cfg.bounds.retry_share, cfg.bounds.grace_s), (0.3, 9.0))
         self.assertEqual((cfg.store.address, cfg.store.port), ("10.200.1.7", 8627))
 
-    def test_bad_settings_end_with_one_numbered_line(self) -> None:
+    def test_invalid_settings_raise_an_error_with_its_code(self) -> None:
         cases = [b"{", make_settings(app_addr="nowhere"), make_settings(listen={})]
         cases += [make_settings(internal_port_range=[1]), make_settings(node=5)]
         for data in cases:
@@ -93,18 +93,18 @@
     def decode(self, value: Any) -> Any:
         return PlatformBundleApi().decode(Document("config", "main", 8, value))
 
-    def test_routes_keep_their_kind_parts_and_times(self) -> None:
+    def test_routes_keep_their_kind_weights_and_times(self) -> None:
         version, content = self.decode(make_configuration())
         self.assertEqual(version, 12)
-        once, split = content.routes
-        self.assertFalse(once.repeatable)
-        self.assertEqual((once.timeout_ms, once.objective_ms), (1500, 800))
+        single, split = content.routes
+        self.assertFalse(single.repeatable)
+        self.assertEqual((single.timeout_ms, single.objective_ms), (1500, 800))
         self.assertTrue(split.repeatable)
         self.assertEqual([part.weight for part in split.parts], [90, 10])
         self.assertEqual(content.limits.idle_timeout_ms, 15000)
         self.assertEqual(content.services[0].max_connections, 110)
 
-    def test_malformed_configurations_are_refused(self) -> None:
+    def test_malformed_configuration_is_rejected(self) -> None:
         for change in (
             {"version": "twelve"},
             {"virtual_hosts": [{"host": "h", "paths": [{"name": "r"}]}]},
@@ -112,10 +112,10 @@
         ):
             with self.subTest(change), self.assertRaises(BundleError):
                 self.decode({**make_configuration(), **change})
-        odd = make_configuration()
-        odd["virtual_hosts"][0]["paths"][0]["route_kind"] = "sometimes"
+        unknown_kind = make_configuration()
+        unknown_kind["virtual_hosts"][0]["paths"][0]["route_kind"] = "sometimes"
         with self.assertRaises(BundleError):
-            self.decode(odd)
+            self.decode(unknown_kind)
 
 
 class OrderTest(unittest.TestCase):
@@ -123,7 +123,7 @@
         api = PlatformOrderApi(None)  # type: ignore[arg-type]
         return api.decode(Document("rollouts", "turnos", 8, spec, status))
 
-    def test_a_status_counts_only_for_its_own_target(self) -> None:
+    def test_status_applies_only_to_its_own_target(self) -> None:
         spec = {"service": "turnos", "target_version": "v3", "duration_s": 16}
         done = {"state": "succeeded", "target_version": "v3"}
         self.assertEqual(self.decode(spec, done).stage, OrderStage.DONE)
@@ -132,7 +132,7 @@
         self.assertEqual(order.stage, OrderStage.WAITING)
         self.assertEqual(order.rejected, ("v0", "v2"))
 
-    def test_another_writers_status_decides_nothing(self) -> None:
+    def test_status_of_another_writer_is_no_verdict(self) -> None:
         spec = {"service": "turnos", "target_version": "v3", "duration_s": 16}
         for status in (
             None,
@@ -143,13 +143,15 @@
             with self.subTest(status):
                 self.assertEqual(self.decode(spec, status).stage, OrderStage.WAITING)
 
-    def test_what_is_no_order_is_refused(self) -> None:
+    def test_malformed_order_is_rejected(self) -> None:
         with self.assertRaises(MoveError):
             self.decode({"service": "turnos"}, None)
 
 
 class BoundaryTest(unittest.TestCase):
-    def test_the_platforms_names_stay_in_the_adapter(self) -> None:
+    """The platform's names and libraries do not spread beyond the adapter."""
+
+    def test_platform_names_are_used_only_in_the_adapter(self) -> None:
         names = ("Attempt-Id", "attempt-id", "virtual_hosts", "weighted_services")
         names += (
             "Expected-Instance",
@@ -165,7 +167,7 @@
             for name in names:
                 self.assertNotIn(name, text, path.name)
 
-    def test_the_adapters_libraries_are_those_of_the_project(self) -> None:
+    def test_required_libraries_are_those_of_the_project(self) -> None:
         project = (ROOT / "pyproject.toml").read_text(encoding="utf-8")
         for line in (ROOT / "requirements.txt").read_text().splitlines():
             if line and not line.startswith("#"):
--- a/tests/test_platform/test_processes.py
+++ b/tests/test_platform/test_processes.py
@@ -1,4 +1,4 @@
-"""Hosted nodes as real processes, from a caller to a backend server and back."""
+"""Requests, drains, crashes and orders on hosted nodes in real processes."""
 
 from __future__ import annotations
 
@@ -24,44 +24,44 @@
 class ProcessTestCase(unittest.TestCase):
     def run_mesh(
         self,
-        body: Callable[[HostedMesh], Awaitable[None]],
+        scenario: Callable[[HostedMesh], Awaitable[None]],
         *services: str,
-        limit_s: float = 60.0,
+        timeout_s: float = 60.0,
     ) -> None:
         async def main() -> None:
-            with trio.fail_after(limit_s):
+            with trio.fail_after(timeout_s):
                 async with hosted_mesh(*(services or SERVICES)) as mesh:
                     await mesh.wait_served()
-                    await body(mesh)
+                    await scenario(mesh)
 
         trio.run(main)
 
 
 class WholePathTest(ProcessTestCase):
-    def test_a_request_reaches_a_backend_server_on_another_vm(self) -> None:
-        async def body(mesh: HostedMesh) -> None:
-            answer = await mesh.ask("vm-1", "/a/x?y=1", b"z" * 200_000, "abc")
-            self.assertEqual(answer.status, 200)
-            self.assertTrue(answer.content.endswith(b" 200000"))
-            self.assertEqual(dict(answer.headers)[b"attempt-id"], b"abc")
-            seen = [
+    def test_request_reaches_a_backend_server_on_another_vm(self) -> None:
+        async def scenario(mesh: HostedMesh) -> None:
+            response = await mesh.ask("vm-1", "/a/x?y=1", b"z" * 200_000, "abc")
+            self.assertEqual(response.status, 200)
+            self.assertTrue(response.content.endswith(b" 200000"))
+            self.assertEqual(dict(response.headers)[b"attempt-id"], b"abc")
+            requests = [
                 request
                 for name in ("vm-0", "vm-2")
                 for request in mesh.backends[name].seen
                 if request.get("attempt-id") == "abc"
             ]
-            self.assertEqual(len(seen), 1)
-            self.assertEqual(seen[0]["caller-service"], "reservas")
-            self.assertEqual(seen[0]["path"], "/a/x?y=1")
-            self.assertIn(seen[0]["expected-instance"], ("i-vm-0", "i-vm-2"))
-            self.assertLessEqual(int(seen[0]["deadline-ms"]), 2000)
+            self.assertEqual(len(requests), 1)
+            self.assertEqual(requests[0]["caller-service"], "reservas")
+            self.assertEqual(requests[0]["path"], "/a/x?y=1")
+            self.assertIn(requests[0]["expected-instance"], ("i-vm-0", "i-vm-2"))
+            self.assertLessEqual(int(requests[0]["deadline-ms"]), 2000)
             missing = await mesh.ask("vm-1", "/b/1")
             self.assertEqual(missing.status, 404)
 
-        self.run_mesh(body)
+        self.run_mesh(scenario)
 
-    def test_a_change_is_in_force_everywhere_without_another_reader(self) -> None:
-        async def body(mesh: HostedMesh) -> None:
+    def test_configuration_change_is_in_force_on_all_nodes(self) -> None:
+        async def scenario(mesh: HostedMesh) -> None:
             mesh.put_configuration(prefix="/new/")
             with trio.fail_after(5):
                 for name in mesh.names:
@@ -70,22 +70,22 @@
                     self.assertEqual((await mesh.ask(name, "/a/1")).status, 404)
             watches = [c for c in mesh.store.calls if "config?watch" in c]
             self.assertTrue(watches)
-            entries = [c for c in mesh.store.calls if c.startswith("POST")]
-            self.assertEqual(len(entries), len(mesh.names))
+            creations = [c for c in mesh.store.calls if c.startswith("POST")]
+            self.assertEqual(len(creations), len(mesh.names))
 
-        self.run_mesh(body)
+        self.run_mesh(scenario)
 
     def test_metrics_are_served_in_the_text_format(self) -> None:
-        async def body(mesh: HostedMesh) -> None:
+        async def scenario(mesh: HostedMesh) -> None:
             url = f"http://{mesh.address('vm-0')}:{METRICS_PORT}/metrics"
             text = ""
-            # The links to the others come up on their own, so the limit of the test
-            # bounds the wait for them.
+            # The links to the other nodes are opened in the background; the timeout of
+            # the test limits the wait for them.
             async with httpcore.AsyncConnectionPool() as pool:
                 while 'marigoldchute_members{state="alive"} 3.0' not in text:
-                    answer = await pool.request("GET", url)
-                    self.assertEqual(answer.status, 200)
-                    text = answer.content.decode()
+                    response = await pool.request("GET", url)
+                    self.assertEqual(response.status, 200)
+                    text = response.content.decode()
                     await trio.sleep(0.05)
             for name in (
                 "requests_total",
@@ -96,10 +96,10 @@
                 self.assertIn(f"\nmarigoldchute_{name} ", text)
             self.assertIn('outcome="ok"', text)
 
-        self.run_mesh(body)
+        self.run_mesh(scenario)
 
-    def test_bad_settings_end_the_process_with_one_line(self) -> None:
-        async def body(mesh: HostedMesh) -> None:
+    def test_invalid_settings_end_the_process_with_an_error_line(self) -> None:
+        async def scenario(mesh: HostedMesh) -> None:
             path = mesh.write_settings("vm-0", "turnos")
             value = json.loads(path.read_text())
             value["app_addr"] = "nowhere"
@@ -109,87 +109,91 @@
             await mesh.wait_ended("vm-0")
             mesh.start_node("vm-0")
             self.assertEqual(await mesh.wait_ended("vm-0"), 1)
-            last = mesh.log_of("vm-0").splitlines()[-1]
-            self.assertTrue(last.startswith("[101 SETTINGS_INVALID]"), last)
+            last_line = mesh.log_of("vm-0").splitlines()[-1]
+            self.assertTrue(last_line.startswith("[101 SETTINGS_INVALID]"), last_line)
 
-        self.run_mesh(body)
+        self.run_mesh(scenario)
 
 
 class LeavingTest(ProcessTestCase):
-    def test_a_drain_is_acknowledged_and_then_nothing_arrives(self) -> None:
-        async def body(mesh: HostedMesh) -> None:
+    def test_backend_server_gets_no_requests_after_its_drain_is_acknowledged(
+        self,
+    ) -> None:
+        async def scenario(mesh: HostedMesh) -> None:
             backend = mesh.backends["vm-0"]
             while not all(mesh.backends[name].seen for name in ("vm-0", "vm-2")):
                 await mesh.ask("vm-1")
             backend.state = "draining"
-            before = backend.sequence
+            sequence_before = backend.sequence
             with trio.fail_after(5):
-                while backend.acknowledged <= before:
+                while backend.acknowledged <= sequence_before:
                     await trio.sleep(0.02)
-            arrived = len(backend.seen)
+            requests_before = len(backend.seen)
             for _ in range(20):
-                answer = await mesh.ask("vm-1")
-                self.assertEqual(answer.status, 200, answer.content)
-            self.assertEqual(len(backend.seen), arrived)
+                response = await mesh.ask("vm-1")
+                self.assertEqual(response.status, 200, response.content)
+            self.assertEqual(len(backend.seen), requests_before)
 
-        self.run_mesh(body)
+        self.run_mesh(scenario)
 
-    def test_a_stopped_node_cuts_no_request(self) -> None:
-        async def body(mesh: HostedMesh) -> None:
+    def test_stopped_node_completes_all_requests(self) -> None:
+        async def scenario(mesh: HostedMesh) -> None:
             for backend in mesh.backends.values():
                 backend.run_s = 0.8
             statuses: list[int] = []
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 statuses.append((await mesh.ask("vm-0")).status)
 
             async with trio.open_nursery() as nursery:
                 for _ in range(6):
-                    nursery.start_soon(ask)
+                    nursery.start_soon(send_request)
                 await trio.sleep(0.3)
                 mesh.signal_node("vm-0", signal.SIGTERM)
                 await trio.sleep(0.1)
                 self.assertFalse(await mesh.is_ready("vm-0"))
-                nursery.start_soon(ask)
+                nursery.start_soon(send_request)
             self.assertEqual(statuses, [200] * 7)
             self.assertEqual(await mesh.wait_ended("vm-0"), 0)
 
-        self.run_mesh(body)
+        self.run_mesh(scenario)
 
     def test_further_signals_do_not_end_a_drain(self) -> None:
-        async def body(mesh: HostedMesh) -> None:
+        async def scenario(mesh: HostedMesh) -> None:
             for backend in mesh.backends.values():
                 backend.run_s = 1.2
             statuses: list[int] = []
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 statuses.append((await mesh.ask("vm-0")).status)
 
             async with trio.open_nursery() as nursery:
                 for _ in range(4):
-                    nursery.start_soon(ask)
+                    nursery.start_soon(send_request)
                 await trio.sleep(0.3)
-                for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-                    mesh.signal_node("vm-0", number)
+                for signal_number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
+                    mesh.signal_node("vm-0", signal_number)
                     await trio.sleep(0.2)
             self.assertEqual(statuses, [200] * 4)
             self.assertEqual(await mesh.wait_ended("vm-0"), 0)
 
-        self.run_mesh(body)
+        self.run_mesh(scenario)
 
-    def test_a_node_ends_within_its_grace_whatever_still_runs(self) -> None:
-        async def body(mesh: HostedMesh) -> None:
+    def test_stopped_node_ends_within_its_grace_period_despite_running_requests(
+        self,
+    ) -> None:
+        async def scenario(mesh: HostedMesh) -> None:
             for backend in mesh.backends.values():
                 backend.run_s = 30.0
             mesh.put_configuration(timeout_ms=20_000)
             await trio.sleep(1.0)
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 with contextlib.suppress(httpcore.NetworkError, httpcore.ProtocolError):
                     await mesh.ask("vm-0", deadline_ms=20_000)
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(send_request)
                 await trio.sleep(0.3)
                 mesh.store.faults.silent = True
                 mesh.signal_node("vm-0", signal.SIGTERM)
@@ -197,12 +201,12 @@
                 await mesh.wait_ended("vm-0")
                 self.assertLess(trio.current_time() - started, GRACE_S)
 
-        self.run_mesh(body)
+        self.run_mesh(scenario)
 
 
 class LossTest(ProcessTestCase):
-    def test_all_nodes_are_killed_and_come_back(self) -> None:
-        async def body(mesh: HostedMesh) -> None:
+    def test_mesh_serves_again_after_all_nodes_were_killed(self) -> None:
+        async def scenario(mesh: HostedMesh) -> None:
             for name in mesh.names:
                 mesh.signal_node(name, signal.SIGKILL)
             for name in mesh.names:
@@ -213,10 +217,10 @@
                 mesh.start_node(name)
             await mesh.wait_served()
 
-        self.run_mesh(body)
+        self.run_mesh(scenario)
 
-    def test_traffic_goes_on_while_the_store_is_away(self) -> None:
-        async def body(mesh: HostedMesh) -> None:
+    def test_requests_are_served_while_the_store_is_unavailable(self) -> None:
+        async def scenario(mesh: HostedMesh) -> None:
             mesh.store.faults.refused_status = 503
             await trio.sleep(2.0)
             for name in mesh.names:
@@ -232,12 +236,12 @@
                     while (await mesh.ask(name, "/back/1")).status != 200:
                         await trio.sleep(0.05)
 
-        self.run_mesh(body)
+        self.run_mesh(scenario)
 
 
 class OrderTest(ProcessTestCase):
-    def test_a_good_order_is_done_and_a_bad_one_is_taken_back(self) -> None:
-        async def body(mesh: HostedMesh) -> None:
+    def test_good_order_succeeds_and_ends_traffic_to_the_old_release(self) -> None:
+        async def scenario(mesh: HostedMesh) -> None:
             mesh.backends["vm-2"].release = "v2"
             mesh.backends["vm-2"].born += 1
             spec = {"service": "turnos", "target_version": "v2", "duration_s": 8}
@@ -251,9 +255,9 @@
                     status = mesh.store.status_of("rollouts", "turnos")
                     states.add(status["state"] if status else "")
             self.assertEqual(states, {"", "running", "succeeded"})
-            before = len(mesh.backends["vm-0"].seen)
+            requests_before = len(mesh.backends["vm-0"].seen)
             for _ in range(10):
                 self.assertEqual((await mesh.ask("vm-1")).status, 200)
-            self.assertEqual(len(mesh.backends["vm-0"].seen), before)
+            self.assertEqual(len(mesh.backends["vm-0"].seen), requests_before)
 
-        self.run_mesh(body)
+        self.run_mesh(scenario)
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store against a stand-in with faults."""
+"""Client of the platform's store against a stand-in store with faults."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 
 class StoreTestCase(unittest.TestCase):
-    def run_with(
+    def run_with_store(
         self,
-        body: Callable[[DocumentStandIn, PlatformDocumentStore], Awaitable[None]],
+        scenario: Callable[[DocumentStandIn, PlatformDocumentStore], Awaitable[None]],
     ) -> None:
         async def main() -> None:
             block = LoopbackBlock()
@@ -40,7 +40,7 @@
                 async with trio.open_nursery() as nursery:
                     await nursery.start(standin.serve, address, PORT)
                     store = PlatformDocumentStore(settings, random.Random(1), address)
-                    await body(standin, store)
+                    await scenario(standin, store)
                     nursery.cancel_scope.cancel()
             block.release()
 
@@ -49,7 +49,9 @@
 
 class DocumentTest(StoreTestCase):
     def test_documents_are_created_listed_replaced_and_deleted(self) -> None:
-        async def body(standin: DocumentStandIn, store: PlatformDocumentStore) -> None:
+        async def scenario(
+            standin: DocumentStandIn, store: PlatformDocumentStore
+        ) -> None:
             first = await store.create("members", "a b/c", {"x": 1})
             with self.assertRaises(ConflictError):
                 await store.create("members", "a b/c", {"x": 2})
@@ -64,10 +66,12 @@
             with self.assertRaises(NotFoundError):
                 await store.get("members", "a b/c")
 
-        self.run_with(body)
+        self.run_with_store(scenario)
 
-    def test_a_status_is_written_under_the_revision_that_was_read(self) -> None:
-        async def body(standin: DocumentStandIn, store: PlatformDocumentStore) -> None:
+    def test_status_is_written_only_under_the_present_revision(self) -> None:
+        async def scenario(
+            standin: DocumentStandIn, store: PlatformDocumentStore
+        ) -> None:
             standin.put("orders", "s", {"to": "v2"})
             read = await store.get("orders", "s")
             written = await store.write_status("orders", "s", {"a": 1}, read.revision)
@@ -76,10 +80,12 @@
                 await store.write_status("orders", "s", {"a": 2}, read.revision)
             self.assertEqual(standin.status_of("orders", "s"), {"a": 1})
 
-        self.run_with(body)
+        self.run_with_store(scenario)
 
-    def test_a_watch_goes_on_and_tells_when_history_is_gone(self) -> None:
-        async def body(standin: DocumentStandIn, store: PlatformDocumentStore) -> None:
+    def test_watch_returns_changes_and_reports_a_compacted_history(self) -> None:
+        async def scenario(
+            standin: DocumentStandIn, store: PlatformDocumentStore
+        ) -> None:
             standin.put("config", "main", {"v": 1})
             page = await store.list("config")
             empty = await store.changes("config", page.revision, 50)
@@ -91,25 +97,29 @@
             with self.assertRaises(CompactedError):
                 await store.changes("config", page.revision, 1000)
 
-        self.run_with(body)
+        self.run_with_store(scenario)
 
 
 class FaultTest(StoreTestCase):
-    def test_a_lost_reply_to_a_write_is_an_unknown_outcome(self) -> None:
-        async def body(standin: DocumentStandIn, store: PlatformDocumentStore) -> None:
+    def test_lost_response_to_a_write_is_an_unknown_outcome(self) -> None:
+        async def scenario(
+            standin: DocumentStandIn, store: PlatformDocumentStore
+        ) -> None:
             standin.faults.lose_replies = 1
             with self.assertRaises(UnknownOutcomeError):
                 await store.create("members", "a", {})
             self.assertEqual(standin.names("members"), ["a"])
 
-        self.run_with(body)
+        self.run_with_store(scenario)
 
-    def test_a_silent_store_and_a_refusing_one_end_in_time(self) -> None:
-        async def body(standin: DocumentStandIn, store: PlatformDocumentStore) -> None:
+    def test_call_to_an_unavailable_store_fails_before_the_timeout(self) -> None:
+        async def scenario(
+            standin: DocumentStandIn, store: PlatformDocumentStore
+        ) -> None:
             for faults in ({"silent": True}, {"refused_status": 503}):
                 for name, value in faults.items():
                     setattr(standin.faults, name, value)
                 with self.assertRaises(PlatformError), trio.fail_after(2.0):
                     await store.list("members")
 
-        self.run_with(body)
+        self.run_with_store(scenario)
