--- a/marigoldchute/hosted/__init__.py
+++ b/marigoldchute/hosted/__init__.py
@@ -1,1 +1,1 @@
-"""Node in a mesh whose bundles, orders and members lie in a platform's store."""
+"""Node of a mesh whose bundles, orders and members are kept in a platform's store."""
--- a/marigoldchute/hosted/catalog.py
+++ b/marigoldchute/hosted/catalog.py
@@ -1,4 +1,4 @@
-"""The bundle in force as named items, and the differences between two of them."""
+"""Bundles as snapshots of named items, and the differences between snapshots."""
 
 from __future__ import annotations
 
@@ -25,7 +25,8 @@
     from marigoldchute.bundle.inforce import InForce
     from marigoldchute.events import EventLog
 
-KEPT_SNAPSHOTS = 8  # Two seconds of a storm; a neighbour fetches sooner.
+# Covers two seconds of a burst of updates; a neighbour fetches sooner than that.
+MAX_SNAPSHOTS = 8
 COMPRESSION_LEVEL = 6
 
 _SERVICE = "s/"
@@ -41,14 +42,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Snapshot:
-    """One bundle as the store held it at a revision.
+    """Content of the bundle at one revision of the store.
 
     Parameters
     ----------
     revision : int
-        Revision of the store, which alone decides what is newer.
+        Revision of the store; it alone decides which snapshot is newer.
     version : int
-        Version that the operator gave.
+        Version assigned by the operator.
     items : dict of str to bytes
         Encoded services, routes and limits by key.
     """
@@ -59,18 +60,18 @@
 
 
 class Difference(msgspec.Struct, frozen=True, array_like=True):
-    """What turns one snapshot into another.
+    """Changes that turn one snapshot into another.
 
     Parameters
     ----------
     base : int
-        Revision to which it applies; 0 for an empty one.
+        Revision of the snapshot to which it applies; 0 for an empty snapshot.
     revision, version : int
-        Those of the result.
+        Revision and version of the resulting snapshot.
     changed : dict of str to bytes
-        Items that are new or differ.
+        Items that were added or changed.
     removed : list of str
-        Keys of items that are gone.
+        Keys of items that were removed.
     """
 
     base: int
@@ -84,7 +85,7 @@
 
 
 def make_snapshot(revision: int, version: int, content: BundleContent) -> Snapshot:
-    """Encode a bundle's content."""
+    """Encode the content of a bundle as a snapshot."""
     items = {_SERVICE + s.name: _ENCODER.encode(s) for s in content.services}
     for route in content.routes:
         items[_ROUTE + route.name] = _ENCODER.encode(route)
@@ -93,7 +94,7 @@
 
 
 def decode_content(items: Items) -> BundleContent:
-    """Decode a bundle's content."""
+    """Decode the content of a bundle from its items."""
     services, routes = [], []
     limits = CallerLimits()
     for key, data in items.items():
@@ -107,10 +108,10 @@
 
 
 def encode_difference(base: Snapshot | None, target: Snapshot) -> bytes:
-    """Return the compressed difference from a snapshot, or from nothing."""
-    held = base.items if base is not None else {}
-    changed = {k: v for k, v in target.items.items() if held.get(k) != v}
-    removed = [key for key in held if key not in target.items]
+    """Return the compressed difference from ``base``, or from an empty snapshot."""
+    base_items = base.items if base is not None else {}
+    changed = {k: v for k, v in target.items.items() if base_items.get(k) != v}
+    removed = [key for key in base_items if key not in target.items]
     difference = Difference(
         base.revision if base is not None else 0,
         target.revision,
@@ -122,21 +123,23 @@
 
 
 def apply_difference(base: Snapshot | None, data: bytes) -> Snapshot:
-    """Return the snapshot that a compressed difference leads to.
+    """Return the snapshot that results from applying a compressed difference.
 
     Raises
     ------
     PeerError
-        The difference is malformed or belongs to another snapshot.
+        The difference is malformed or was made from another snapshot.
     """
     try:
         difference = _DIFFERENCE.decode(zlib.decompress(data))
     except (zlib.error, msgspec.DecodeError) as exc:
-        raise PeerError(f"bad difference: {exc}", ResultCode.PEER_PROTOCOL) from exc
+        raise PeerError(
+            f"malformed difference: {exc}", ResultCode.PEER_PROTOCOL
+        ) from exc
     items: Items = {}
     if difference.base:
         if base is None or base.revision != difference.base:
-            raise PeerError("difference to another bundle", ResultCode.PEER_PROTOCOL)
+            raise PeerError("difference from another bundle", ResultCode.PEER_PROTOCOL)
         items = dict(base.items)
     for key in difference.removed:
         items.pop(key, None)
@@ -145,12 +148,13 @@
 
 
 class Catalog:
-    """Holds the newest snapshot and brings it into force.
+    """Holds the newest snapshot and puts it in force.
 
     Parameters
     ----------
     in_force : InForce
-        Takes each newer bundle whole; within a process it never goes back.
+        Replaced with each newer bundle; within a process the revision never
+        decreases.
     log : EventLog
         Event log of the process.
     """
@@ -158,9 +162,9 @@
     def __init__(self, in_force: InForce, log: EventLog) -> None:
         self._in_force = in_force
         self._log = log
-        self._kept: dict[int, Snapshot] = {}
+        self._snapshots: dict[int, Snapshot] = {}
         self.newest: Snapshot | None = None
-        self.on_newer: list[Callable[[Snapshot], None]] = []
+        self.on_update: list[Callable[[Snapshot], None]] = []
 
     @property
     def revision(self) -> int:
@@ -172,24 +176,24 @@
         """Version of the bundle in force, 0 before the first one."""
         return self.newest.version if self.newest is not None else 0
 
-    def kept(self, revision: int) -> Snapshot | None:
-        """Return a snapshot that is still kept, for differences from it."""
-        return self._kept.get(revision)
+    def get_snapshot(self, revision: int) -> Snapshot | None:
+        """Return the recent snapshot of a revision, None when it is no longer kept."""
+        return self._snapshots.get(revision)
 
-    def take(self, snapshot: Snapshot, source: str) -> bool:
-        """Bring a snapshot into force if it is newer.
+    def apply(self, snapshot: Snapshot, source: str) -> bool:
+        """Put a snapshot in force if it is newer.
 
         Parameters
         ----------
         snapshot : Snapshot
             Snapshot from the store or a peer.
         source : str
-            Where it came from, for the log.
+            Origin of the snapshot, for the log.
 
         Raises
         ------
         BundleError
-            The bundle is not allowed; the one in force stays.
+            The bundle is invalid; the one in force stays in force.
         """
         if snapshot.revision <= self.revision:
             return False
@@ -197,9 +201,9 @@
         validate_content(content, names_releases=False)
         manifest = Manifest(snapshot.revision, (), "", "", b"")
         self.newest = snapshot
-        self._kept[snapshot.revision] = snapshot
-        while len(self._kept) > KEPT_SNAPSHOTS:
-            del self._kept[min(self._kept)]
+        self._snapshots[snapshot.revision] = snapshot
+        while len(self._snapshots) > MAX_SNAPSHOTS:
+            del self._snapshots[min(self._snapshots)]
         self._in_force.swap(Bundle(manifest, content))
         self._log.emit(
             "catalog",
@@ -210,6 +214,6 @@
             source=source,
             routes=len(content.routes),
         )
-        for listener in self.on_newer:
+        for listener in self.on_update:
             listener(snapshot)
         return True
--- a/marigoldchute/hosted/config_topic.py
+++ b/marigoldchute/hosted/config_topic.py
@@ -1,4 +1,4 @@
-"""Bundles as a topic of the store."""
+"""Topic of the store that carries bundles."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class BundleApi(Protocol):
-    """How the bundle lies in the store."""
+    """Document of the store that holds the bundle."""
 
     @property
     def kind(self) -> str:
@@ -31,19 +31,19 @@
         Raises
         ------
         BundleError
-            The document is no bundle.
+            The document does not hold a valid bundle.
         """
 
 
 class BundleTopic:
-    """Takes bundles that the store holds into the catalog.
+    """Applies bundles from the store to the catalog.
 
     Parameters
     ----------
     api : BundleApi
-        How the bundle lies in the store.
+        Document of the store that holds the bundle.
     catalog : Catalog
-        Bundles of this node.
+        Catalog of this node.
     log : EventLog
         Event log of the process.
     """
@@ -59,27 +59,27 @@
         return self._catalog.revision
 
     def take_page(self, page: DocumentPage, whole: bool) -> None:
-        """Take the newest bundle of a page."""
+        """Apply the newest valid bundle of a page."""
         documents = [
             document
             for document in page.documents
             if document.name == self._api.name and not document.deleted
         ]
         for document in sorted(documents, key=lambda item: -item.revision):
-            if self._take(document):
+            if self._apply_document(document):
                 return
 
-    def _take(self, document: Document) -> bool:
+    def _apply_document(self, document: Document) -> bool:
         try:
             version, content = self._api.decode(document)
             snapshot = make_snapshot(document.revision, version, content)
-            self._catalog.take(snapshot, "the store")
+            self._catalog.apply(snapshot, "the store")
         except (BundleError, MoveError) as exc:
             self._log.emit(
                 "catalog",
                 "refused",
-                f"The bundle of revision {document.revision} does not come into "
-                f"force: {exc.message}.",
+                f"The bundle of revision {document.revision} was rejected: "
+                f"{exc.message}.",
                 revision=document.revision,
                 code=exc.code.value,
             )
--- a/marigoldchute/hosted/discovery.py
+++ b/marigoldchute/hosted/discovery.py
@@ -1,4 +1,4 @@
-"""Finding the other nodes through the store."""
+"""Discovery of the other nodes through the store."""
 
 from __future__ import annotations
 
@@ -17,28 +17,30 @@
     from marigoldchute.objectstore.documents import Document, DocumentStore
 
 MEMBER_KIND = "mesh-members"
-RETRY_S = 0.5
-RELIST_S = 8.0  # Only for what links did not tell; a stale list costs a tenth.
+RETRY_INTERVAL_S = 0.5
+# Listing again only finds members that links have not revealed. A stale list costs a
+# tenth of a fresh one.
+RELIST_INTERVAL_S = 8.0
 
 
 class MemberEntry(msgspec.Struct, frozen=True):
-    """Where a node can be reached, as the store holds it."""
+    """Address of a node as stored in the store."""
 
     address: str
     peer_port: int
 
 
 class Discovery:
-    """Writes this node's entry, once, and reads those of the others.
+    """Writes the entry of this node once and reads the entries of the others.
 
-    The entry stands until the VM leaves for good, so a restart writes nothing.
+    The entry stays until the VM is removed permanently, so a restart writes nothing.
 
     Parameters
     ----------
     store : DocumentStore
         The platform's store.
     directory : Directory
-        Learns of the members found.
+        Receives the discovered members.
     log : EventLog
         Event log of the process.
     rng : random.Random
@@ -56,37 +58,37 @@
         self._directory = directory
         self._log = log
         self._rng = rng
-        self.found = trio.Event()
+        self.first_list_done = trio.Event()
 
     async def run(self) -> None:
-        """Write the entry, then list members from time to time until cancelled."""
-        await self._until_done(self._write_entry)
-        await self._until_done(self._list_members)
-        self.found.set()
+        """Write the entry, then list the members periodically until cancelled."""
+        await self._retry_until_done(self._write_entry)
+        await self._retry_until_done(self._list_members)
+        self.first_list_done.set()
         if self._store.fastest_s < float("inf"):
-            self._directory.publish_store_time(int(self._store.fastest_s * 1000) + 1)
+            self._directory.publish_store_latency(int(self._store.fastest_s * 1000) + 1)
         while True:
-            await trio.sleep(RELIST_S * self._rng.uniform(0.7, 1.3))
+            await trio.sleep(RELIST_INTERVAL_S * self._rng.uniform(0.7, 1.3))
             try:
                 await self._list_members(stale_allowed=True)
             except PlatformError as exc:
-                self._note("members_unlisted", exc)
+                self._log_failure("members_unlisted", exc)
 
     async def remove_entry(self) -> None:
-        """Delete this node's entry, because its VM leaves for good."""
+        """Delete the entry of this node when its VM is removed permanently."""
         try:
             await self._store.delete(MEMBER_KIND, self._directory.local.name)
         except PlatformError as exc:
-            self._note("entry_left", exc)
+            self._log_failure("entry_left", exc)
 
-    async def _until_done(self, step) -> None:  # type: ignore[no-untyped-def]
+    async def _retry_until_done(self, operation) -> None:  # type: ignore[no-untyped-def]
         while True:
             try:
-                await step()
+                await operation()
                 return
             except PlatformError as exc:
-                self._note("store_unreachable", exc)
-            await trio.sleep(RETRY_S * self._rng.uniform(0.5, 1.0))
+                self._log_failure("store_unreachable", exc)
+            await trio.sleep(RETRY_INTERVAL_S * self._rng.uniform(0.5, 1.0))
 
     async def _write_entry(self) -> None:
         local = self._directory.local
@@ -95,33 +97,33 @@
         try:
             await self._store.create(MEMBER_KIND, local.name, content)
         except ConflictError:
-            held = await self._store.get(MEMBER_KIND, local.name)
-            if held.content != content:
+            stored = await self._store.get(MEMBER_KIND, local.name)
+            if stored.content != content:
                 await self._store.replace(
-                    MEMBER_KIND, local.name, content, held.revision
+                    MEMBER_KIND, local.name, content, stored.revision
                 )
 
     async def _list_members(self, stale_allowed: bool = False) -> None:
         page = await self._store.list(MEMBER_KIND, stale_allowed)
         for document in page.documents:
-            self._take_entry(document)
+            self._add_entry(document)
 
-    def _take_entry(self, document: Document) -> None:
+    def _add_entry(self, document: Document) -> None:
         try:
             entry = msgspec.convert(document.content, MemberEntry)
         except msgspec.ValidationError as exc:
             self._log.emit(
                 "discovery",
                 "entry_malformed",
-                f"The entry of {document.name!r} is left out: {exc}.",
+                f"The malformed entry of {document.name!r} is ignored: {exc}.",
             )
             return
-        self._directory.add_found(document.name, entry.address, entry.peer_port)
+        self._directory.add_discovered(document.name, entry.address, entry.peer_port)
 
-    def _note(self, event: str, exc: PlatformError) -> None:
+    def _log_failure(self, event: str, exc: PlatformError) -> None:
         self._log.emit(
             "discovery",
             event,
-            f"The store did not serve: {exc.message}.",
+            f"A request to the store failed: {exc.message}.",
             code=exc.code.value,
         )
--- a/marigoldchute/hosted/metrics.py
+++ b/marigoldchute/hosted/metrics.py
@@ -17,22 +17,22 @@
 
 
 class MetricsPage:
-    """Answers with the metrics in the Prometheus text format.
+    """Serves the metrics in the Prometheus text format.
 
     Parameters
     ----------
     snapshot : callable
-        Returns what to show.
+        Returns the current values.
     """
 
     def __init__(self, snapshot: Callable[[], NodeSnapshot]) -> None:
         self._snapshot = snapshot
 
     async def handle(self, req: HttpRequest, responder: HttpResponder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         status, body = 404, b""
         if req.target == METRICS_PATH:
-            # Loaded with the first question: most nodes are never asked.
+            # Imported on the first request, because most nodes never receive one.
             from marigoldchute.admin.metrics import render_metrics
 
             status, body = 200, render_metrics(self._snapshot())
--- a/marigoldchute/hosted/node.py
+++ b/marigoldchute/hosted/node.py
@@ -1,4 +1,4 @@
-"""Assembly of the slices into one hosted node."""
+"""Assembly of the components of a hosted node."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from marigoldchute.hosted.drain import NodeDrain
 from marigoldchute.hosted.metrics import MetricsPage, count_states
 from marigoldchute.hosted.reader import ReaderDuty, StoreReader
-from marigoldchute.hosted.registry import MISSED_REPORTS, LocalRegistry
+from marigoldchute.hosted.registry import MAX_MISSED_REPORTS, LocalRegistry
 from marigoldchute.hosted.relay import BundleRelay
 from marigoldchute.hosted.settings import Endpoint
 from marigoldchute.link.endpoint import LinkEndpoint
@@ -54,15 +54,17 @@
     from marigoldchute.routing.dialect import Dialect
     from marigoldchute.routing.http_server import RequestHandler
 
-# Nodes of a hosted mesh are alone on their network; the secret tells meshes apart.
+# Only nodes share the network of a hosted mesh; the secret keeps meshes apart.
 MESH_SECRET = b"marigoldchute hosted mesh"
-LINK_HEARTBEAT_MS = 500  # A link that misses three is given up, after 1.5 s.
+LINK_HEARTBEAT_MS = 500  # A link is closed after three missed heartbeats, 1.5 s.
 GATHER_BYTES = 262_144
-TICK_S = 0.25
+EXPIRY_INTERVAL_S = 0.25
 LEAVE_FLOOD_S = 0.05
-PEERS_FIRST_S = 1.5
-PEERS_ANSWER_S = 0.4  # A few trips between regions: link, comparison, difference.
-FIRST_BUNDLE_WAIT_S = 0.7  # After the loss of all it came 0.3 to 0.6 s after the start.
+PEERS_TIMEOUT_S = 1.5
+# A few round trips between regions: opening a link, comparison and difference.
+PEERS_SYNC_S = 0.4
+# After the loss of all nodes the first bundle arrives 0.3 to 0.6 s after the start.
+FIRST_BUNDLE_WAIT_S = 0.7
 POLICY = PathPolicy(
     adaptive_limit=False,
     gather_bytes=GATHER_BYTES,
@@ -73,19 +75,19 @@
 
 
 class HostAdapter(Protocol):
-    """What differs between platforms that host a mesh."""
+    """Interface to the platform that hosts a mesh."""
 
     @property
     def dialect(self) -> Dialect:
-        """Header names of callers and backend servers."""
+        """Header names used by callers and backend servers."""
 
     @property
     def bundles(self) -> BundleApi:
-        """How the bundle lies in the store."""
+        """Document of the store that holds the bundle."""
 
     @property
     def orders(self) -> OrderApi:
-        """How orders lie in the store."""
+        """Documents of the store that hold the orders."""
 
     @property
     def store(self) -> DocumentStore:
@@ -98,22 +100,22 @@
         is_ready: Callable[[], bool],
         clock: Clock,
     ) -> tuple[RequestHandler, RequestHandler]:
-        """Return the handlers of the control address and of the readiness address."""
+        """Return the request handlers of the control and readiness addresses."""
 
 
 class HostedNode:
-    """One node process: proxy, member, relay and, at times, reader and driver.
+    """One node process: proxy, member, relay and possibly reader and driver.
 
     Parameters
     ----------
     cfg : HostedSettings
         Settings of the node.
     adapter : HostAdapter
-        The platform.
+        Interface to the platform.
     log : EventLog
         Event log of the process.
     rng : random.Random
-        Random choices.
+        Source of random choices and jitter.
     """
 
     def __init__(
@@ -137,40 +139,44 @@
             cfg.name, now_ms, 0, cfg.address, cfg.peer_port, cfg.data_centre, cfg.region
         )
         self.directory = Directory(local, table, log)
-        self._endpoint = LinkEndpoint(
+        self._link_endpoint = LinkEndpoint(
             PeerIdentity(cfg.name, now_ms, cfg.data_centre, cfg.region),
             cfg.address,
             (MESH_SECRET,),
             handlers,
             log.clock,
             LINK_HEARTBEAT_MS,
-            self._take_link,
+            self._handle_link,
         )
-        self._overlay = Overlay(self._endpoint, handlers, table, rng)
+        self._overlay = Overlay(self._link_endpoint, handlers, table, rng)
         address_of = self.directory.address_of
-        shared = self._overlay.link_to
-        self._control = LinkPool(self._endpoint, "control-call", address_of, shared)
-        self._traffic = LinkPool(self._endpoint, "traffic", address_of, shared)
+        shared_link = self._overlay.link_to
+        self._control_pool = LinkPool(
+            self._link_endpoint, "control-call", address_of, shared_link
+        )
+        self._traffic_pool = LinkPool(
+            self._link_endpoint, "traffic", address_of, shared_link
+        )
         self._registry = LocalRegistry(
             cfg.name,
             table,
             self.directory.publish_servers,
             log,
-            MISSED_REPORTS * cfg.report_interval_ms / 1000,
+            MAX_MISSED_REPORTS * cfg.report_interval_ms / 1000,
         )
         self._registry.max_connections = self._max_connections
         self._catalog = Catalog(self._in_force, log)
         self._relay = BundleRelay(self._catalog, self._overlay, handlers, log, rng)
-        self._duty = ReaderDuty(self.directory)
-        self._book = OrderBook(self.directory, table, log)
-        counter = OutcomeCounter(self._book)
+        self._reader_duty = ReaderDuty(self.directory)
+        self._order_book = OrderBook(self.directory, table, log)
+        outcome_counter = OutcomeCounter(self._order_book)
         self._driver = OrderDriver(
             adapter.orders,
-            self._book,
-            counter,
+            self._order_book,
+            outcome_counter,
             self.directory,
-            self._duty,
-            self._control,
+            self._reader_duty,
+            self._control_pool,
             handlers,
             log,
             self._clock,
@@ -178,7 +184,7 @@
         bundles = BundleTopic(adapter.bundles, self._catalog, log)
         topics: list[Topic] = [bundles, self._driver]
         self._reader = StoreReader(
-            adapter.store, topics, self._duty, self._overlay, handlers, log, rng
+            adapter.store, topics, self._reader_duty, self._overlay, handlers, log, rng
         )
         self._driver.reader = self._reader
         self._discovery = Discovery(adapter.store, self.directory, log, rng)
@@ -188,12 +194,12 @@
         bounds = cfg.bounds
         self.entry = Entry(
             self._in_force,
-            self._book,
+            self._order_book,
             self.directory,
-            self._traffic,
+            self._traffic_pool,
             self._owner,
             LeastExpectedTime(rng),
-            counter,
+            outcome_counter,
             log,
             self._clock,
             rng,
@@ -211,23 +217,26 @@
         control, readiness = adapter.control_handlers(
             self._registry, lambda: self._cfg.backend, self.is_ready, self._clock
         )
-        page = MetricsPage(self._snapshot)
-        self._metrics_edge = HttpEdge(page.handle, self._log_failure)
+        metrics_page = MetricsPage(self._metrics_snapshot)
+        self._metrics_edge = HttpEdge(metrics_page.handle, self._log_failure)
         self._caller_edge = HttpEdge(self.entry.handle_external, self._log_failure)
         self._control_edge = HttpEdge(control, self._log_failure)
         self._readiness_edge = HttpEdge(readiness, self._log_failure)
-        self._in_force.on_swap(self._take_bundle)
-        self.directory.on_view += [self.entry.tables.mark_stale, self._book.refresh]
-        table.subscribe(RecordKind.MEMBER, lambda record: self._book.refresh())
+        self._in_force.on_swap(self._apply_bundle)
+        self.directory.on_view += [
+            self.entry.tables.mark_stale,
+            self._order_book.refresh,
+        ]
+        table.subscribe(RecordKind.MEMBER, lambda record: self._order_book.refresh())
 
     def is_ready(self) -> bool:
-        """Return whether callers may be sent here."""
+        """Return whether this node is ready for requests of callers."""
         return self._in_force.bundle is not None and not self._draining
 
     def reload(self, cfg: HostedSettings) -> None:
-        """Take settings that changed while the node runs.
+        """Apply settings that changed while the node runs.
 
-        Addresses on which it listens cannot change.
+        Listen addresses cannot change.
         """
         if cfg == self._cfg:
             return
@@ -235,7 +244,10 @@
             self._cfg, service=cfg.service, backend=cfg.backend, bounds=cfg.bounds
         )
         self._log.emit(
-            "node", "reloaded", "Settings changed.", service=self._cfg.service
+            "node",
+            "reloaded",
+            "Changed settings were applied.",
+            service=self._cfg.service,
         )
 
     async def run(self) -> None:
@@ -245,13 +257,13 @@
         async with trio.open_nursery() as nursery:
             await nursery.start(self._owner.run)
             await nursery.start(self._serve, self._control_edge, cfg.control)
-            await nursery.start(self._control.run)
-            await nursery.start(self._traffic.run)
-            await nursery.start(self._endpoint.serve, cfg.peer_port)
+            await nursery.start(self._control_pool.run)
+            await nursery.start(self._traffic_pool.run)
+            await nursery.start(self._link_endpoint.serve, cfg.peer_port)
             nursery.start_soon(self._overlay.run, self.directory)
             nursery.start_soon(self._discovery.run)
             nursery.start_soon(self._relay.run)
-            nursery.start_soon(self._tick)
+            nursery.start_soon(self._expire_servers)
             await nursery.start(self._serve, self._caller_edge, cfg.callers)
             await nursery.start(self._serve, self._readiness_edge, cfg.readiness)
             await nursery.start(
@@ -260,19 +272,19 @@
             nursery.start_soon(self._driver.run)
             self._log.emit("node", "started", f"{cfg.name} serves on {cfg.address}.")
             await self._wait_for_peers()
-            self._duty.begin(trio.current_time())
+            self._reader_duty.start_timeout(trio.current_time())
             await self._reader.run()
 
     async def _wait_for_peers(self) -> None:
-        """Give peers the time to tell what they know before the store is read."""
-        with trio.move_on_after(PEERS_FIRST_S):
-            await self._discovery.found.wait()
-            await trio.sleep(PEERS_ANSWER_S)
+        """Give peers time to send their records and bundle before reading the store."""
+        with trio.move_on_after(PEERS_TIMEOUT_S):
+            await self._discovery.first_list_done.wait()
+            await trio.sleep(PEERS_SYNC_S)
 
     async def drain(self) -> None:
-        """Leave without cutting a request; returns when the process may end."""
+        """Drain without interrupting requests and return when the process may end."""
         self._draining = True
-        self._log.emit("node", "draining", f"{self._cfg.name} drains.")
+        self._log.emit("node", "draining", f"{self._cfg.name} is draining.")
         grace_s = self._cfg.bounds.grace_s
         drain = NodeDrain(self._caller_edge, self._owner, self.directory, grace_s)
         await drain.run(self._announce_leave)
@@ -281,29 +293,29 @@
     async def _announce_leave(self) -> None:
         self.directory.leave(self._clock.now_ms())
         await trio.sleep(LEAVE_FLOOD_S)
-        if not self._registry.holds_server:
+        if not self._registry.has_server:
             await self._discovery.remove_entry()
-        await self._endpoint.flush()
+        await self._link_endpoint.flush()
 
     async def _serve(
         self,
         edge: HttpEdge,
-        place: Endpoint,
+        endpoint: Endpoint,
         task_status: trio.TaskStatus[Any] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        await edge.serve(place.address, place.port, task_status=task_status)
+        await edge.serve(endpoint.address, endpoint.port, task_status=task_status)
 
-    async def _tick(self) -> None:
+    async def _expire_servers(self) -> None:
         while True:
             self._registry.expire(trio.current_time())
-            await trio.sleep(TICK_S)
+            await trio.sleep(EXPIRY_INTERVAL_S)
 
-    def _snapshot(self) -> NodeSnapshot:
+    def _metrics_snapshot(self) -> NodeSnapshot:
         from marigoldchute.admin.metrics import MoveShare, NodeCounts, NodeSnapshot
 
         members = self.directory.all()
         budget = self.entry.retry_budget
-        states = self._book.states()
+        states = self._order_book.states()
         uptime_s = trio.current_time() - self._started_at
         line_out = self._log.line_out
         return NodeSnapshot(
@@ -311,7 +323,7 @@
             self._catalog.version,
             count_states(members),
             tuple(MoveShare(s.order_id, s.service, s.share) for s in states),
-            collect_stats(self._endpoint, len(members), uptime_s),
+            collect_stats(self._link_endpoint, len(members), uptime_s),
             NodeCounts(
                 self._store.calls,
                 self.entry.metrics.snapshot(),
@@ -324,11 +336,11 @@
             ),
         )
 
-    def _take_link(self, link: Link) -> None:
+    def _handle_link(self, link: Link) -> None:
         if link.purpose == "control":
             self._overlay.accept(link)
 
-    def _take_bundle(self, bundle: Bundle) -> None:
+    def _apply_bundle(self, bundle: Bundle) -> None:
         self._caller_edge.limits = bundle.content.limits
         self._registry.refresh_limits()
 
@@ -342,5 +354,5 @@
         return 0
 
     def _log_failure(self, exc: Exception) -> None:
-        text = f"A request met an unexpected error: {exc!r}."
+        text = f"A request failed with an unexpected error: {exc!r}."
         self._log.emit("node", "failure", text)
--- a/marigoldchute/hosted/reader.py
+++ b/marigoldchute/hosted/reader.py
@@ -1,4 +1,4 @@
-"""Reading the store for the whole mesh: who does it, and how."""
+"""Selection of the members that read the store for the mesh, and the reading."""
 
 from __future__ import annotations
 
@@ -24,30 +24,31 @@
     from marigoldchute.objectstore.documents import DocumentPage, DocumentStore
     from marigoldchute.overlay.overlay import Overlay
 
-READERS = 2  # One may freeze or be cut off without a gap in the other's reading.
-BEACON_S = 0.5
-BEACON_FRESH_S = 1.3  # Two beacons may be lost before another node steps in.
-WAIT_MS = 1_000  # A silent store is noticed within this and one call's time.
-BACKUPS = 4
+NUM_READERS = 2  # If one freezes or is cut off, the other reads on without a gap.
+BEACON_INTERVAL_S = 0.5
+BEACON_TIMEOUT_S = 1.3  # Two beacons may be lost before a backup starts to read.
+# A store that stops responding is detected within this time plus that of one call.
+WATCH_TIMEOUT_MS = 1_000
+NUM_BACKUPS = 4
 BACKUP_AFTER_S = 4.0
-POLL_S = 0.1
-RETRY_S = 0.4
-NEAR_FACTOR = 3.0
+DUTY_POLL_INTERVAL_S = 0.1
+RETRY_INTERVAL_S = 0.4
+NEAR_LATENCY_FACTOR = 3.0
 
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 class Beacon(msgspec.Struct, frozen=True, array_like=True):
-    """Says that a member reads the store successfully.
+    """Message that a member reads the store successfully.
 
     Parameters
     ----------
     member : str
-        Who reads.
+        Name of the reader.
     incarnation : int
-        Of the member.
+        Incarnation of the member.
     number : int
-        Rises with each beacon of an incarnation.
+        Increases with each beacon of an incarnation.
     """
 
     member: str
@@ -59,89 +60,94 @@
 
 
 class Topic(Protocol):
-    """Documents of a kind that a reader follows for the mesh."""
+    """Documents of one kind that a reader follows for the mesh."""
 
     @property
     def kind(self) -> str:
         """Kind of the documents."""
 
     def known_revision(self) -> int:
-        """Return the revision up to which all changes are known, or 0."""
+        """Return the revision up to which all changes are applied, 0 for none."""
 
     def take_page(self, page: DocumentPage, whole: bool) -> None:
-        """Take changes, or all documents when ``whole``.
+        """Apply changes, or all documents when ``whole``.
 
-        A document that is not allowed is logged, and what was known before stands.
+        An invalid document is logged and leaves the previous state unchanged.
         """
 
 
 class ReaderDuty:
-    """Decides whether this node reads the store, without any message but beacons.
+    """Decides from beacons alone whether this node reads the store.
 
-    The first ``READERS`` members in an order that all nodes compute alike read, those
-    near the store first. Who reads successfully says so twice a second. A node that
-    hears no such beacon reads by itself until it hears one again: at once when it is
-    among the next few in the order, after ``BACKUP_AFTER_S`` otherwise.
+    All nodes compute the same order of members, in which those near the store come
+    first. The first ``NUM_READERS`` members read the store. A member that reads
+    successfully sends a beacon twice a second. A node without a recent beacon reads the
+    store until it receives one: at once when it is among the next ``NUM_BACKUPS``
+    members of the order, after ``BACKUP_AFTER_S`` otherwise.
 
     Parameters
     ----------
     directory : Directory
-        Members.
+        Members of the mesh.
     """
 
     def __init__(self, directory: Directory) -> None:
         self.directory = directory
         self._started_at = 0.0
-        self._beacons: dict[str, float] = {}
-        self._newest: dict[str, tuple[int, int]] = {}
+        self._last_beacon_at: dict[str, float] = {}
+        self._latest: dict[str, tuple[int, int]] = {}
 
-    def begin(self, now: float) -> None:
-        """Count the time without beacons from now on, a monotonic time in seconds."""
+    def start_timeout(self, now: float) -> None:
+        """Measure the time without beacons from ``now``, monotonic time in seconds."""
         self._started_at = now
 
-    def take_beacon(self, name: str, now: float) -> None:
-        """Take note that a member reads the store successfully."""
-        self._beacons[name] = now
+    def record_beacon(self, name: str, now: float) -> None:
+        """Record a beacon of a member that reads the store successfully."""
+        self._last_beacon_at[name] = now
 
-    def is_news(self, beacon: Beacon) -> bool:
-        """Return whether a beacon is newer than those of its member before it."""
+    def is_newer(self, beacon: Beacon) -> bool:
+        """Return whether a beacon is its member's newest so far, and record it."""
         rank = (beacon.incarnation, beacon.number)
-        news = rank > self._newest.get(beacon.member, (-1, -1))
-        if news:
-            self._newest[beacon.member] = rank
-        return news
+        is_newer = rank > self._latest.get(beacon.member, (-1, -1))
+        if is_newer:
+            self._latest[beacon.member] = rank
+        return is_newer
 
     def is_reader(self, now: float) -> bool:
-        """Return whether this node is to read now."""
-        rank = self._rank()
-        if rank < READERS:
+        """Return whether this node has to read the store now."""
+        position = self._local_position()
+        if position < NUM_READERS:
             return True
-        heard_at = max(self._beacons.values(), default=self._started_at)
-        silent_s = now - heard_at
-        if silent_s <= BEACON_FRESH_S:
+        last_beacon_at = max(self._last_beacon_at.values(), default=self._started_at)
+        elapsed_s = now - last_beacon_at
+        if elapsed_s <= BEACON_TIMEOUT_S:
             return False
-        return rank < READERS + BACKUPS or silent_s > BACKUP_AFTER_S
+        return position < NUM_READERS + NUM_BACKUPS or elapsed_s > BACKUP_AFTER_S
 
     def active_readers(self, now: float) -> list[str]:
-        """Return the names of other members that read successfully of late."""
-        return [n for n, at in self._beacons.items() if now - at <= BEACON_FRESH_S]
+        """Return the names of other members with a recent beacon."""
+        return [
+            n for n, at in self._last_beacon_at.items() if now - at <= BEACON_TIMEOUT_S
+        ]
 
     def deciders(self, now: float) -> list[str]:
-        """Return the names of the other members that may decide for all.
+        """Return the names of the other members that may be the leader.
 
-        Those that read of late; while nobody does, the members whose duty it is.
+        These are the members with a recent beacon or, when there are none, the first
+        ``NUM_READERS`` members.
         """
         active = self.active_readers(now)
         if active:
             return active
-        first = [member.name for member in self._ordered()[:READERS]]
+        first = [member.name for member in self._ordered()[:NUM_READERS]]
         return [name for name in first if name != self.directory.local.name]
 
     def leads(self, reads: bool, now: float) -> bool:
-        """Return whether this node decides what one reader must decide.
+        """Return whether this node is the leader, which decides for all readers.
 
-        While nobody reads the store, the first member in the order decides, if it
-        reaches most of the members: what is under way must not stand still.
+        The leader is the first member of the order that reads the store. While no
+        member reads it, the first member of the order is the leader if it reaches a
+        majority of the members, so that rollouts in progress continue.
 
         Parameters
         ----------
@@ -163,32 +169,32 @@
     def _ordered(self) -> list[Member]:
         members = self.directory.reachable()
         times = [member.store_ms for member in members if member.store_ms]
-        limit_ms = NEAR_FACTOR * min(times, default=0)
+        limit_ms = NEAR_LATENCY_FACTOR * min(times, default=0)
         order = rendezvous_order(members, "store-reader")
         return sorted(order, key=lambda m: not 0 < m.store_ms <= limit_ms)
 
-    def _rank(self) -> int:
+    def _local_position(self) -> int:
         for index, member in enumerate(self._ordered()):
             if member.name == self.directory.local.name:
                 return index
-        return READERS + BACKUPS
+        return NUM_READERS + NUM_BACKUPS
 
 
 class StoreReader:
-    """Follows topics of the store while this node has the duty to.
+    """Follows topics of the store while this node is a reader.
 
     Parameters
     ----------
     store : DocumentStore
         The platform's store.
     topics : sequence of Topic
-        What to follow; beacons say that the first one is read.
+        Topics to follow; beacons are sent while all of them are read.
     duty : ReaderDuty
-        Whether to read.
+        Decides whether this node reads.
     overlay : Overlay
-        Links over which beacons go.
+        Links over which beacons are sent.
     handlers : Handlers
-        Where the beacon's method is registered.
+        Registry for the handler of beacons.
     log : EventLog
         Event log of the process.
     rng : random.Random
@@ -205,27 +211,27 @@
         log: EventLog,
         rng: random.Random,
     ) -> None:
-        self._numbers = itertools.count()
+        self._beacon_numbers = itertools.count()
         self._store = store
         self._topics = topics
         self._duty = duty
         self._overlay = overlay
         self._log = log
         self._rng = rng
-        self._read_at: dict[str, float] = {}
-        self._reading = False
+        self._last_read_at: dict[str, float] = {}
+        self._was_reading = False
         self.on_read: list[Callable[[], None]] = []
-        handlers.register(Method.READER_BEACON, self._take_beacon)
+        handlers.register(Method.READER_BEACON, self._handle_beacon)
 
     def reads(self, now: float) -> bool:
-        """Return whether every topic was read successfully of late."""
-        oldest = now - WAIT_MS / 1000 - BEACON_S
-        return len(self._read_at) == len(self._topics) and all(
-            at >= oldest for at in self._read_at.values()
+        """Return whether every topic was recently read successfully."""
+        oldest = now - WATCH_TIMEOUT_MS / 1000 - BEACON_INTERVAL_S
+        return len(self._last_read_at) == len(self._topics) and all(
+            at >= oldest for at in self._last_read_at.values()
         )
 
     async def run(self) -> None:
-        """Read and send beacons until cancelled."""
+        """Read the store and send beacons until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_beacons)
             for topic in self._topics:
@@ -236,32 +242,32 @@
         while True:
             if not self._duty.is_reader(trio.current_time()):
                 position = None
-                self._read_at.pop(topic.kind, None)
-                await trio.sleep(POLL_S)
+                self._last_read_at.pop(topic.kind, None)
+                await trio.sleep(DUTY_POLL_INTERVAL_S)
                 continue
             if position is None:
                 position = topic.known_revision()
             try:
                 position = await self._read_once(topic, position)
-                self._read_at[topic.kind] = trio.current_time()
+                self._last_read_at[topic.kind] = trio.current_time()
             except CompactedError as exc:
-                self._note_failure(topic, exc)
+                self._log_failure(topic, exc)
                 position = 0
             except PlatformError as exc:
-                self._note_failure(topic, exc)
-                await trio.sleep(RETRY_S * self._rng.uniform(0.5, 1.0))
+                self._log_failure(topic, exc)
+                await trio.sleep(RETRY_INTERVAL_S * self._rng.uniform(0.5, 1.0))
 
     async def _read_once(self, topic: Topic, position: int) -> int:
-        """Read all documents at position 0, the changes after any other one."""
+        """Read all documents when ``position`` is 0, else the changes since then."""
         if not position:
             page = await self._store.list(topic.kind)
             topic.take_page(page, True)
             return page.revision
-        page = await self._store.changes(topic.kind, position, WAIT_MS)
+        page = await self._store.changes(topic.kind, position, WATCH_TIMEOUT_MS)
         topic.take_page(page, False)
         return max(position, page.revision)
 
-    def _note_failure(self, topic: Topic, exc: PlatformError) -> None:
+    def _log_failure(self, topic: Topic, exc: PlatformError) -> None:
         self._log.emit(
             "reader",
             "read_failed",
@@ -272,38 +278,43 @@
 
     async def _send_beacons(self) -> None:
         while True:
-            await trio.sleep(BEACON_S)
+            await trio.sleep(BEACON_INTERVAL_S)
             now = trio.current_time()
             reads = self._duty.is_reader(now) and self.reads(now)
-            if reads != self._reading:
-                self._reading = reads
+            if reads != self._was_reading:
+                self._was_reading = reads
                 event, text = ("duty_taken", "reads the store for the mesh")
                 if not reads:
-                    event, text = ("duty_lost", "does not read the store any more")
+                    event, text = (
+                        "duty_lost",
+                        "no longer reads the store for the mesh",
+                    )
                 self._log.emit("reader", event, f"This node {text}.")
             if reads:
                 local = self._duty.directory.local
-                beacon = Beacon(local.name, local.incarnation, next(self._numbers))
-                if self._duty.directory.links_all_pairs:
-                    self._notify(self._overlay.neighbours(), beacon)
+                beacon = Beacon(
+                    local.name, local.incarnation, next(self._beacon_numbers)
+                )
+                if self._duty.directory.is_full_mesh:
+                    self._send_beacon(self._overlay.neighbours(), beacon)
                 else:
-                    self._notify(self._overlay.spread_links(), beacon)
+                    self._send_beacon(self._overlay.spread_links(), beacon)
 
-    def _notify(self, links: list[Link], beacon: Beacon) -> None:
+    def _send_beacon(self, links: list[Link], beacon: Beacon) -> None:
         body = _ENCODER.encode(beacon)
         for link in links:
             try:
                 link.notify(Method.READER_BEACON, body)
             except PeerError:
-                continue  # The link has ended; the overlay opens another.
+                continue  # The link has closed; the overlay opens a new one.
 
-    async def _take_beacon(self, link: Link, body: bytes) -> bytes:
+    async def _handle_beacon(self, link: Link, body: bytes) -> bytes:
         beacon = _BEACON.decode(body)
         local = self._duty.directory.local.name
-        if beacon.member == local or not self._duty.is_news(beacon):
+        if beacon.member == local or not self._duty.is_newer(beacon):
             return b""
-        self._duty.take_beacon(beacon.member, trio.current_time())
-        if not self._duty.directory.links_all_pairs:
-            # Most members have no link to the reader.
-            self._notify(self._overlay.spread_links(link.peer.name), beacon)
+        self._duty.record_beacon(beacon.member, trio.current_time())
+        if not self._duty.directory.is_full_mesh:
+            # Most members have no link to the reader, so the beacon is relayed.
+            self._send_beacon(self._overlay.spread_links(link.peer.name), beacon)
         return b""
--- a/marigoldchute/hosted/registry.py
+++ b/marigoldchute/hosted/registry.py
@@ -1,4 +1,4 @@
-"""The backend server on this VM, as its own reports tell."""
+"""Registry of the backend server on this VM, kept from its reports."""
 
 from __future__ import annotations
 
@@ -16,33 +16,34 @@
     from marigoldchute.events import EventLog
     from marigoldchute.overlay.records import RecordTable
 
-MISSED_REPORTS = 4  # Reports are at times seconds late; a dead server refuses at once.
-CONNECTIONS_UNSTATED = 1_000
-FIRST_SEQUENCE = -1  # Below that of every report.
+# Reports can be seconds late, and a server that has ended refuses connections at once.
+MAX_MISSED_REPORTS = 4
+DEFAULT_MAX_CONNECTIONS = 1_000  # Used when the bundle sets no limit for the service.
+ADOPTED_SEQUENCE = -1  # Lower than the sequence of every report.
 
 
 @dataclasses.dataclass(frozen=True)
 class StateReport:
-    """What a backend server tells of itself.
+    """State that a backend server reports about itself.
 
     Parameters
     ----------
     instance : str
-        Its id, which it may have had before.
+        Id of the server; a restarted server may reuse it.
     born_ms : int
-        Wall-clock time of its start; tells two lives under one id apart.
+        Wall-clock time of its start; distinguishes incarnations with the same id.
     sequence : int
-        Rises with each report of one life.
+        Increases with each report of one incarnation.
     service, release : str
-        What it serves.
+        Service and release that it serves.
     port : int
-        TCP port on the VM's own address.
+        TCP port at the address of the VM.
     slots : int
-        Requests that it can run at once.
+        Number of requests that it can run concurrently.
     draining : bool
-        Whether it is about to leave.
-    warm_left_ms : int
-        Time for which it is still slow after its start.
+        Whether it is draining before it leaves.
+    warmup_left_ms : int
+        Remaining duration of its cold start.
     """
 
     instance: str
@@ -53,24 +54,24 @@
     port: int
     slots: int
     draining: bool
-    warm_left_ms: int
+    warmup_left_ms: int
 
 
-class _Leaving(msgspec.Struct, frozen=True, array_like=True):
+class _LeaveBody(msgspec.Struct, frozen=True, array_like=True):
     born_ms: int
 
 
-_LEAVING = msgspec.msgpack.Decoder(_Leaving)
+_LEAVE_BODY = msgspec.msgpack.Decoder(_LeaveBody)
 _SERVER = msgspec.msgpack.Decoder(BackendServer)
 
 
 class LocalRegistry:
-    """Takes the reports of the backend server on this VM, in whatever order.
+    """Tracks the backend server on this VM from reports in any order.
 
-    The server with the latest start holds the VM. Within one life a report counts only
-    when its sequence is higher, and a server that has said that it leaves never comes
-    back in that life. That it leaves is replicated, so that a node that is restarted
-    in between does not take a late report for a living server.
+    The server with the latest start is the current one. Within an incarnation a report
+    is applied only when its sequence is higher, and a server that has announced its
+    leave never accepts requests again. The leave is replicated, so that a node that
+    restarts meanwhile does not treat a late report as one of a running server.
 
     Parameters
     ----------
@@ -83,7 +84,7 @@
     log : EventLog
         Event log of the process.
     expiry_s : float
-        Time without a report after which a backend server is taken as gone.
+        Time without a report after which a backend server is considered gone.
     """
 
     def __init__(
@@ -101,40 +102,42 @@
         self._expiry_s = expiry_s
         self._current: StateReport | None = None
         self._warm_at_ms = 0
-        self._heard_at: float | None = None
+        self._last_report_at: float | None = None
         self._published: tuple[BackendServer, ...] = ()
         self.max_connections: Callable[[str], int] = lambda service: 0
-        table.subscribe(RecordKind.LEAVING, self._take_leaving)
-        table.subscribe(RecordKind.VM_SERVER, self._take_server)
+        table.subscribe(RecordKind.LEAVING, self._handle_leave_record)
+        table.subscribe(RecordKind.VM_SERVER, self._adopt_server)
 
     @property
-    def holds_server(self) -> bool:
-        """Whether a backend server that has not left is known."""
+    def has_server(self) -> bool:
+        """Whether a backend server is published for this VM."""
         return bool(self._published)
 
     def take_report(self, report: StateReport, now: float, now_ms: int) -> None:
-        """Take a report; one that is out of date changes nothing.
+        """Apply a report unless it is stale.
 
         Parameters
         ----------
         report : StateReport
-            Checked report.
+            Validated report.
         now : float
             Monotonic time in seconds.
         now_ms : int
             Wall-clock time in milliseconds since the epoch.
         """
-        held = self._current
-        if held is not None and not _is_newer(report, held):
+        current = self._current
+        if current is not None and not _is_newer(report, current):
             return
-        same_life = held is not None and _life(held) == _life(report)
-        if not same_life:
-            warm_left_ms = report.warm_left_ms
-            self._warm_at_ms = now_ms + warm_left_ms if warm_left_ms else 0
+        same_incarnation = current is not None and _incarnation(
+            current
+        ) == _incarnation(report)
+        if not same_incarnation:
+            warmup_left_ms = report.warmup_left_ms
+            self._warm_at_ms = now_ms + warmup_left_ms if warmup_left_ms else 0
             self._log.emit(
                 "registry",
                 "server_seen",
-                f"{report.instance} of {report.service!r} {report.release!r} serves.",
+                f"{report.instance} of {report.service!r} {report.release!r} runs.",
                 instance=report.instance,
                 born_ms=report.born_ms,
                 sequence=report.sequence,
@@ -142,22 +145,22 @@
                 release=report.release,
                 slots=report.slots,
             )
-        leaving = report.draining or self._has_left(report.instance, report.born_ms)
-        if same_life and held is not None and held.draining:
-            leaving = True
-        self._current = dataclasses.replace(report, draining=leaving)
-        self._heard_at = now
-        if leaving:
-            self._announce_leaving(report.instance, report.born_ms, "draining")
-        self._refresh()
-        if not same_life:
-            self._replicate()
+        is_leaving = report.draining or self._has_left(report.instance, report.born_ms)
+        if same_incarnation and current is not None and current.draining:
+            is_leaving = True
+        self._current = dataclasses.replace(report, draining=is_leaving)
+        self._last_report_at = now
+        if is_leaving:
+            self._record_leave(report.instance, report.born_ms, "draining")
+        self._publish_changes()
+        if not same_incarnation:
+            self._replicate_server()
 
     def take_leave(self, instance: str, now_ms: int) -> None:
-        """Take a backend server's word that it leaves without having drained.
+        """Handle the leave of a backend server that has not drained before.
 
-        It may come when this process does not know the server yet: after a restart,
-        its record is still on the way. Each life that began before now is over then.
+        After a restart of the node it may arrive before the record of the server. The
+        leave then applies to every incarnation that started before ``now_ms``.
 
         Parameters
         ----------
@@ -166,73 +169,73 @@
         now_ms : int
             Wall-clock time in milliseconds since the epoch.
         """
-        held = self._current
-        if held is None or held.instance != instance:
-            self._announce_leaving(instance, now_ms, "left before it was known")
+        current = self._current
+        if current is None or current.instance != instance:
+            self._record_leave(instance, now_ms, "left before it was registered")
             return
-        self._current = dataclasses.replace(held, draining=True)
-        self._announce_leaving(instance, held.born_ms, "left")
-        self._refresh()
+        self._current = dataclasses.replace(current, draining=True)
+        self._record_leave(instance, current.born_ms, "left")
+        self._publish_changes()
 
     def expire(self, now: float) -> None:
-        """Drop a backend server that has not reported for too long."""
-        held = self._current
-        if held is None:
+        """Remove a backend server without a report within the expiry time."""
+        current = self._current
+        if current is None:
             return
-        if self._heard_at is None:
-            self._heard_at = now
-        if now - self._heard_at <= self._expiry_s:
+        if self._last_report_at is None:
+            self._last_report_at = now
+        if now - self._last_report_at <= self._expiry_s:
             return
         self._log.emit(
             "registry",
             "server_silent",
-            f"{held.instance} has not reported for {now - self._heard_at:.1f} s.",
-            instance=held.instance,
+            f"{current.instance} sent no report in {now - self._last_report_at:.1f} s.",
+            instance=current.instance,
         )
         self._current = None
-        self._refresh()
+        self._publish_changes()
 
     def refresh_limits(self) -> None:
-        """Publish again after a bundle may have changed what servers accept."""
-        self._refresh()
+        """Publish again after a bundle may have changed connection limits."""
+        self._publish_changes()
 
     def _has_left(self, instance: str, born_ms: int) -> bool:
         record = self._table.get(RecordKind.LEAVING, instance)
-        return record is not None and _LEAVING.decode(record.body).born_ms >= born_ms
+        return record is not None and _LEAVE_BODY.decode(record.body).born_ms >= born_ms
 
-    def _announce_leaving(self, instance: str, born_ms: int, why: str) -> None:
-        body = msgspec.msgpack.encode(_Leaving(born_ms))
+    def _record_leave(self, instance: str, born_ms: int, reason: str) -> None:
+        body = msgspec.msgpack.encode(_LeaveBody(born_ms))
         record = Record(RecordKind.LEAVING, instance, (born_ms, 0), body)
         if self._table.offer(record):
             self._log.emit(
                 "registry",
                 "server_leaving",
-                f"{instance} gets no new requests: {why}.",
+                f"{instance} receives no new requests: {reason}.",
                 instance=instance,
                 born_ms=born_ms,
             )
 
-    def _take_leaving(self, record: Record) -> None:
-        held = self._current
-        if held is None or held.instance != record.key or held.draining:
+    def _handle_leave_record(self, record: Record) -> None:
+        current = self._current
+        if current is None or current.instance != record.key or current.draining:
             return
-        if record.rank[0] >= held.born_ms:
-            self._current = dataclasses.replace(held, draining=True)
-            self._refresh()
+        if record.rank[0] >= current.born_ms:
+            self._current = dataclasses.replace(current, draining=True)
+            self._publish_changes()
 
-    def _replicate(self) -> None:
-        """Leave the backend server to the next node process of this VM."""
+    def _replicate_server(self) -> None:
+        """Replicate the backend server for the next node process of this VM."""
         assert self._current is not None
         body = msgspec.msgpack.encode(self._published[0])
         rank = (self._current.born_ms, 0)
         self._table.offer(Record(RecordKind.VM_SERVER, self._node, rank, body))
 
-    def _take_server(self, record: Record) -> None:
-        """Take the backend server that an earlier node process of this VM served.
+    def _adopt_server(self, record: Record) -> None:
+        """Adopt the backend server that an earlier node process of this VM registered.
 
-        It saves the time until the next report. The server must still report to stay;
-        one that has ended refuses connections, and another one at its address refuses
-        requests for it.
+        This makes it available before its next report. It expires unless it reports. A
+        server that has ended refuses connections, and another server at its address
+        refuses requests for it.
         """
         if record.key != self._node or self._current is not None:
             return
@@ -241,7 +244,7 @@
         self._current = StateReport(
             instance,
             born_ms,
-            FIRST_SEQUENCE,
+            ADOPTED_SEQUENCE,
             server.service,
             server.release,
             server.port,
@@ -250,32 +253,34 @@
             0,
         )
         self._warm_at_ms = server.warm_at_ms
-        self._heard_at = None
+        self._last_report_at = None
         self._log.emit(
             "registry",
             "server_adopted",
-            f"{instance} is taken over from an earlier process.",
+            f"{instance} is adopted from an earlier node process.",
             instance=instance,
             born_ms=born_ms,
         )
-        self._refresh()
+        self._publish_changes()
 
-    def _refresh(self) -> None:
-        held = self._current
+    def _publish_changes(self) -> None:
+        current = self._current
         servers: tuple[BackendServer, ...] = ()
-        if held is not None:
-            connections = self.max_connections(held.service) or CONNECTIONS_UNSTATED
+        if current is not None:
+            connections = (
+                self.max_connections(current.service) or DEFAULT_MAX_CONNECTIONS
+            )
             servers = (
                 BackendServer(
-                    f"{held.instance}@{held.born_ms}",
-                    held.service,
-                    held.release,
-                    held.port,
-                    held.slots,
+                    f"{current.instance}@{current.born_ms}",
+                    current.service,
+                    current.release,
+                    current.port,
+                    current.slots,
                     connections,
-                    held.draining,
+                    current.draining,
                     self._warm_at_ms,
-                    held.instance,
+                    current.instance,
                 ),
             )
         if servers != self._published:
@@ -283,11 +288,11 @@
             self._publish(servers)
 
 
-def _life(report: StateReport) -> tuple[str, int]:
+def _incarnation(report: StateReport) -> tuple[str, int]:
     return report.instance, report.born_ms
 
 
-def _is_newer(report: StateReport, held: StateReport) -> bool:
-    if report.born_ms != held.born_ms:
-        return report.born_ms > held.born_ms
-    return report.instance != held.instance or report.sequence > held.sequence
+def _is_newer(report: StateReport, current: StateReport) -> bool:
+    if report.born_ms != current.born_ms:
+        return report.born_ms > current.born_ms
+    return report.instance != current.instance or report.sequence > current.sequence
--- a/marigoldchute/hosted/relay.py
+++ b/marigoldchute/hosted/relay.py
@@ -1,4 +1,4 @@
-"""Passing bundles from node to node as differences."""
+"""Transfer of bundles between neighbours as differences."""
 
 from __future__ import annotations
 
@@ -21,32 +21,35 @@
     from marigoldchute.link.link import Link
     from marigoldchute.overlay.overlay import Overlay
 
-FETCH_TIMEOUT_S = 1.0  # A difference takes one trip; another neighbour may answer.
-FETCH_PAUSE_S = 0.1  # Between fetches while each neighbour that offers has failed.
-REOFFER_S = 1.0  # To one neighbour at a time; a bundle is to be in force within 2.5 s.
+# A difference takes one round trip, and another neighbour may respond instead.
+FETCH_TIMEOUT_S = 1.0
+FETCH_RETRY_DELAY_S = 0.1  # Delay while every neighbour with an offer has failed.
+# Repeated to one neighbour at a time; a bundle must be in force within 2.5 s.
+REOFFER_INTERVAL_S = 1.0
 _REVISION = struct.Struct(">Q")
 
 
 class BundleRelay:
     """Offers the newest bundle to neighbours and fetches newer ones from them.
 
-    An offer is a revision; a neighbour that lacks it asks for the difference from what
-    it holds, so that each node receives each change once, whatever the number of its
-    neighbours. An offer stands until its revision is held or its link has ended. One
-    that was lost is made up for: each node repeats its own to one neighbour at a time.
+    An offer is a revision. A neighbour with an older one requests the difference from
+    its own revision, so that each node receives each change once, whatever the number
+    of its neighbours. An offer is valid until its revision is in force or its link has
+    closed. To make up for lost offers, each node repeats its offer to one neighbour at
+    a time.
 
     Parameters
     ----------
     catalog : Catalog
-        Bundles of this node.
+        Catalog of this node.
     overlay : Overlay
         Links to neighbours.
     handlers : Handlers
-        Where the relay's methods are registered.
+        Registry for the handlers of offers and fetches.
     log : EventLog
         Event log of the process.
     rng : random.Random
-        Chooses to whom an offer is repeated.
+        Selects the neighbour to which an offer is repeated.
     """
 
     def __init__(
@@ -63,41 +66,41 @@
         self._rng = rng
         self._offers: dict[Link, int] = {}
         self._failures: collections.Counter[Link] = collections.Counter()
-        self._offered = trio.Event()
-        handlers.register(Method.OFFER_BUNDLE, self._take_offer)
-        handlers.register(Method.FETCH_BUNDLE, self._serve_fetch)
+        self._offer_received = trio.Event()
+        handlers.register(Method.OFFER_BUNDLE, self._handle_offer)
+        handlers.register(Method.FETCH_BUNDLE, self._handle_fetch)
         overlay.on_neighbour.append(self._offer_to)
-        catalog.on_newer.append(self._offer_to_all)
+        catalog.on_update.append(self._offer_to_all)
 
     async def run(self) -> None:
-        """Fetch what neighbours offer, and repeat offers, until cancelled."""
+        """Fetch offered bundles and repeat offers until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._repeat_offers)
             while True:
-                await self._offered.wait()
-                self._offered = trio.Event()
-                await self._fetch_offered()
+                await self._offer_received.wait()
+                self._offer_received = trio.Event()
+                await self._fetch_offers()
                 self._failures.clear()
 
-    async def _fetch_offered(self) -> None:
+    async def _fetch_offers(self) -> None:
         while (link := self._best_offer()) is not None:
             if self._failures[link]:
-                await trio.sleep(FETCH_PAUSE_S)
+                await trio.sleep(FETCH_RETRY_DELAY_S)
             await self._fetch_from(link)
 
     async def _repeat_offers(self) -> None:
         while True:
-            await trio.sleep(REOFFER_S * self._rng.uniform(0.5, 1.5))
+            await trio.sleep(REOFFER_INTERVAL_S * self._rng.uniform(0.5, 1.5))
             neighbours = self._overlay.neighbours()
             if neighbours:
                 self._offer_to(self._rng.choice(neighbours))
 
     def _best_offer(self) -> Link | None:
-        held = self._catalog.revision
+        current_revision = self._catalog.revision
         self._offers = {
             link: revision
             for link, revision in self._offers.items()
-            if link.alive and revision > held
+            if link.alive and revision > current_revision
         }
         if not self._offers:
             return None
@@ -106,47 +109,47 @@
         )
 
     async def _fetch_from(self, link: Link) -> None:
-        offered = self._offers.pop(link)
+        revision = self._offers.pop(link)
         base = self._catalog.newest
-        have = _REVISION.pack(base.revision if base is not None else 0)
+        base_revision = _REVISION.pack(base.revision if base is not None else 0)
         try:
-            data = await link.call(Method.FETCH_BUNDLE, have, FETCH_TIMEOUT_S)
-            self._catalog.take(apply_difference(base, data), link.peer.name)
+            data = await link.call(Method.FETCH_BUNDLE, base_revision, FETCH_TIMEOUT_S)
+            self._catalog.apply(apply_difference(base, data), link.peer.name)
         except (PeerError, BundleError) as exc:
             if isinstance(exc, PeerError):
-                # The same bundle may still come, from this neighbour or another.
+                # The bundle may still be fetched from this neighbour or another one.
                 self._failures[link] += 1
-                self._offers.setdefault(link, offered)
+                self._offers.setdefault(link, revision)
             self._log.emit(
                 "relay",
                 "fetch_failed",
-                f"Bundle of revision {offered} was not got from {link.peer.name}: "
+                f"Fetching revision {revision} from {link.peer.name} failed: "
                 f"{exc.message}.",
                 member=link.peer.name,
-                revision=offered,
+                revision=revision,
                 code=exc.code.value,
             )
 
-    async def _take_offer(self, link: Link, body: bytes) -> bytes:
+    async def _handle_offer(self, link: Link, body: bytes) -> bytes:
         (revision,) = _REVISION.unpack(body)
         if revision > self._catalog.revision:
             self._offers[link] = revision
-            self._offered.set()
+            self._offer_received.set()
         return b""
 
-    async def _serve_fetch(self, link: Link, body: bytes) -> bytes:
+    async def _handle_fetch(self, link: Link, body: bytes) -> bytes:
         newest = self._catalog.newest
         if newest is None:
-            raise PeerError("no bundle is held here")
+            raise PeerError("this node has no bundle yet")
         (revision,) = _REVISION.unpack(body)
-        return encode_difference(self._catalog.kept(revision), newest)
+        return encode_difference(self._catalog.get_snapshot(revision), newest)
 
     def _offer_to(self, link: Link) -> None:
         if self._catalog.revision:
             try:
                 link.notify(Method.OFFER_BUNDLE, _REVISION.pack(self._catalog.revision))
             except PeerError:
-                return  # The link has ended; its successor brings the offer again.
+                return  # The link has closed; the offer is sent again on the next one.
 
     def _offer_to_all(self, snapshot: Snapshot) -> None:
         for link in self._overlay.neighbours():
--- a/marigoldchute/hosted/settings.py
+++ b/marigoldchute/hosted/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a hosted node, checked."""
+"""Validated settings of a hosted node."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """Bounds that the mesh promises to keep.
+    """Limits that the mesh guarantees.
 
     Parameters
     ----------
     grace_s : float
-        Time between a request to stop and the end of the process by force.
+        Time between the stop signal and the forced end of the process.
     retry_share : float
-        Repeats for each request that all nodes together may make in a window.
+        Retries per request that all nodes together may make in a window.
     retry_slack : float
-        Repeats that all nodes together may make on top.
+        Additional retries that all nodes together may make in a window.
     retry_window_s : float
-        Length of the window.
+        Length of the retry window.
     """
 
     grace_s: float = 6.0
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Endpoint:
-    """IP number and TCP port."""
+    """IP address and TCP port."""
 
     address: str
     port: int
@@ -50,27 +50,27 @@
     name : str
         Unique name of the VM.
     address : str
-        IP number of the VM.
+        IP address of the VM.
     data_centre, region : str
-        Place of the VM.
+        Data centre and region of the VM.
     service : str
-        Service of the backend server on this VM.
+        Service that the backend server on this VM provides.
     backend : Endpoint
-        Where that backend server listens.
+        Address of that backend server.
     callers : Endpoint
-        Where callers and the backend server on this VM send their requests.
+        Address to which callers and the backend server on this VM send requests.
     control : Endpoint
-        Where the backend server reports its state.
+        Address to which the backend server reports its state.
     readiness : Endpoint
-        Where the platform asks whether the node is ready.
+        Address at which the platform polls the readiness of the node.
     peer_port, metrics_port : int
         TCP ports for peers and for metrics.
     store : StoreSettings
         The platform's store.
     report_interval_ms : int
-        Usual time between two reports of a backend server.
+        Typical time between two reports of a backend server.
     bounds : Bounds
-        Bounds to keep.
+        Limits that the mesh guarantees.
     """
 
     name: str
@@ -90,12 +90,12 @@
 
 
 def parse_endpoint(field: str, text: object) -> Endpoint:
-    """Return the endpoint that a text like ``10.1.2.3:80`` names.
+    """Parse an endpoint like ``10.1.2.3:80``.
 
     Raises
     ------
     SettingsError
-        It names none.
+        The text is not a valid endpoint.
     """
     address, _, port = str(text).rpartition(":")
     try:
--- a/tests/support/hosted.py
+++ b/tests/support/hosted.py
@@ -1,4 +1,4 @@
-"""A hosted mesh of real node processes beside backend servers in the test."""
+"""Hosted mesh of real node processes with backend servers in the test process."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
     from marigoldchute.routing.http_request import HttpRequest, HttpResponder
 
-STORE_PORT, CALLER_PORT, CONTROL_PORT, READY_PORT, BACKEND_PORT = range(8620, 8625)
+STORE_PORT, CALLER_PORT, CONTROL_PORT, READINESS_PORT, BACKEND_PORT = range(8620, 8625)
 PEER_PORT = 7600
-REPORT_MS = 400
-END_LIMIT_S = 12.0
+REPORT_INTERVAL_MS = 400
+EXIT_TIMEOUT_S = 12.0
 HOST = "h.example"
 
 
 class Backend:
-    """Backend server beside a node: counts what it runs and reports its state."""
+    """Backend server of a node: records its requests and reports its state."""
 
     def __init__(self, name: str, service: str, address: str, release: str) -> None:
         self.name = name
@@ -51,10 +51,10 @@
     async def run(self, task_status: Any = trio.TASK_STATUS_IGNORED) -> None:
         async with trio.open_nursery() as nursery:
             await nursery.start(self._edge.serve, self.address, BACKEND_PORT)
-            nursery.start_soon(self._report)
+            nursery.start_soon(self._send_reports)
             task_status.started()
 
-    async def _report(self) -> None:
+    async def _send_reports(self) -> None:
         async with httpcore.AsyncConnectionPool() as pool:
             while True:
                 self.sequence += 1
@@ -76,12 +76,12 @@
                 }
                 url = f"http://{self.address}:{CONTROL_PORT}/api/instances/{self.name}"
                 with contextlib.suppress(httpcore.NetworkError, httpcore.ProtocolError):
-                    answer = await pool.request(
+                    response = await pool.request(
                         "POST", f"{url}/heartbeat", content=json.dumps(value).encode()
                     )
-                    if answer.status == 200 and state == self.state:
+                    if response.status == 200 and state == self.state:
                         self.acknowledged = sequence
-                await trio.sleep(REPORT_MS / 1000)
+                await trio.sleep(REPORT_INTERVAL_MS / 1000)
 
     async def _handle(self, req: HttpRequest, responder: HttpResponder) -> None:
         body = b""
@@ -100,7 +100,7 @@
 
 
 class HostedMesh:
-    """Nodes as processes; the store and the backend servers run in the test."""
+    """Mesh of node processes; store and backend servers run in the test process."""
 
     def __init__(self, services: list[str]) -> None:
         self.block = LoopbackBlock()
@@ -126,10 +126,10 @@
             "listen": {
                 "outbound": f"{address}:{CALLER_PORT}",
                 "control": f"{address}:{CONTROL_PORT}",
-                "ready": f"{address}:{READY_PORT}",
+                "ready": f"{address}:{READINESS_PORT}",
             },
             "internal_port_range": [PEER_PORT, PEER_PORT + 15],
-            "heartbeat_ms": REPORT_MS,
+            "heartbeat_ms": REPORT_INTERVAL_MS,
             "bounds": ["grace_s=6"],
             "app_addr": f"{address}:{BACKEND_PORT}",
             "service": service,
@@ -190,7 +190,7 @@
         request_id: str = "1",
         deadline_ms: int = 3000,
     ) -> httpcore.Response:
-        """Send one request on a connection of its own."""
+        """Send one request on a new connection."""
         async with httpcore.AsyncConnectionPool() as pool:
             return await pool.request(
                 "POST",
@@ -205,7 +205,7 @@
             )
 
     async def is_ready(self, name: str) -> bool:
-        url = f"http://{self.address(name)}:{READY_PORT}/api/readiness"
+        url = f"http://{self.address(name)}:{READINESS_PORT}/api/readiness"
         async with httpcore.AsyncConnectionPool() as pool:
             try:
                 return (await pool.request("GET", url)).status == 200
@@ -213,7 +213,7 @@
                 return False
 
     async def wait_served(self, *names: str) -> None:
-        """Wait until the named nodes are ready and serve a request."""
+        """Wait until the named nodes are ready and respond to a request with 200."""
         with trio.fail_after(30):
             for name in names or self.names:
                 while not await self.is_ready(name):
@@ -222,8 +222,8 @@
                     await trio.sleep(0.05)
 
     async def wait_ended(self, name: str) -> int:
-        """Wait for the end of a node's process; return its status."""
-        with trio.fail_after(END_LIMIT_S):
+        """Wait for a node process to exit and return its exit status."""
+        with trio.fail_after(EXIT_TIMEOUT_S):
             while (status := self.processes[name].poll()) is None:
                 await trio.sleep(0.05)
         return status
@@ -241,7 +241,7 @@
 
 @contextlib.asynccontextmanager
 async def hosted_mesh(*services: str) -> AsyncIterator[HostedMesh]:
-    """Run a mesh with one VM for each named service, and its backend servers."""
+    """Run a mesh with one VM and one backend server for each named service."""
     mesh = HostedMesh(list(services))
     try:
         async with trio.open_nursery() as nursery:
--- a/tests/test_hosted/test_catalog.py
+++ b/tests/test_hosted/test_catalog.py
@@ -1,4 +1,4 @@
-"""Bundles in force and the differences between them."""
+"""Snapshots of bundles, differences between them and the bundle in force."""
 
 from __future__ import annotations
 
@@ -45,17 +45,17 @@
 
 
 class DifferenceTest(unittest.TestCase):
-    def test_a_chain_of_differences_ends_at_the_same_content(self) -> None:
+    def test_chain_of_differences_reproduces_the_content(self) -> None:
         rng = random.Random(11)
-        held: Snapshot | None = None
+        current: Snapshot | None = None
         for revision in range(1, 30):
             content = make_content(rng)
             target = make_snapshot(revision, revision * 2, content)
-            held = apply_difference(held, encode_difference(held, target))
-            self.assertEqual(held, target)
-            self.assertCountEqual(decode_content(held.items).routes, content.routes)
+            current = apply_difference(current, encode_difference(current, target))
+            self.assertEqual(current, target)
+            self.assertCountEqual(decode_content(current.items).routes, content.routes)
 
-    def test_a_change_of_one_route_is_small(self) -> None:
+    def test_difference_of_one_route_is_small(self) -> None:
         first = make_snapshot(1, 1, make_content(random.Random(3)))
         items = dict(first.items)
         items["r/split"] = items["r/split"].replace(b"/split/", b"/other/")
@@ -63,7 +63,7 @@
         self.assertLess(len(encode_difference(first, second)), 400)
         self.assertGreater(len(encode_difference(None, second)), 2_000)
 
-    def test_a_difference_to_another_bundle_is_refused(self) -> None:
+    def test_difference_from_another_snapshot_or_truncated_is_rejected(self) -> None:
         rng = random.Random(5)
         one, two, three = (make_snapshot(i, i, make_content(rng)) for i in (1, 2, 3))
         data = encode_difference(two, three)
@@ -80,18 +80,18 @@
         self.catalog = Catalog(self.in_force, EventSink())
         self.rng = random.Random(1)
 
-    def test_the_revision_decides_and_never_goes_back(self) -> None:
+    def test_snapshot_with_lower_revision_is_ignored(self) -> None:
         later = make_snapshot(9, 3, make_content(self.rng))
         earlier = make_snapshot(5, 7, make_content(self.rng))
-        self.assertTrue(self.catalog.take(later, "test"))
-        self.assertFalse(self.catalog.take(earlier, "test"))
+        self.assertTrue(self.catalog.apply(later, "test"))
+        self.assertFalse(self.catalog.apply(earlier, "test"))
         self.assertEqual(self.in_force.version, 9)
 
-    def test_a_bundle_with_a_missing_service_leaves_the_old_one(self) -> None:
-        good = make_snapshot(1, 1, make_content(self.rng))
-        self.catalog.take(good, "test")
+    def test_bundle_with_missing_service_leaves_previous_in_force(self) -> None:
+        valid = make_snapshot(1, 1, make_content(self.rng))
+        self.catalog.apply(valid, "test")
         routes = (Route("r", "/r/", "nobody", host="h.example"),)
-        bad = make_snapshot(2, 2, BundleContent(SERVICES, routes))
+        invalid = make_snapshot(2, 2, BundleContent(SERVICES, routes))
         with self.assertRaises(BundleError):
-            self.catalog.take(bad, "test")
+            self.catalog.apply(invalid, "test")
         self.assertEqual(self.catalog.revision, 1)
--- a/tests/test_hosted/test_directory.py
+++ b/tests/test_hosted/test_directory.py
@@ -1,11 +1,11 @@
-"""Members as one hosted node sees them."""
+"""Members and their state in the directory of one hosted node."""
 
 from __future__ import annotations
 
 import unittest
 
 from marigoldchute.events import EventSink
-from marigoldchute.hosted.directory import FULL_MESH_MEMBERS, Directory
+from marigoldchute.hosted.directory import MAX_FULL_MESH_MEMBERS, Directory
 from marigoldchute.membership.model import BackendServer, Member, MemberState
 from marigoldchute.overlay.records import RecordKind, RecordTable
 
@@ -26,7 +26,7 @@
     )
 
 
-def spread(source: RecordTable, *targets: RecordTable) -> None:
+def replicate(source: RecordTable, *targets: RecordTable) -> None:
     for record in source.of_kind(RecordKind.MEMBER):
         for target in targets:
             target.offer(record, "peer")
@@ -39,9 +39,9 @@
         other = RecordTable()
         self.peer = make_directory("vm-2", other)
         self.peer.publish_servers((SERVER,))
-        spread(other, self.table)
+        replicate(other, self.table)
 
-    def test_a_peer_without_link_is_unreachable_here_only(self) -> None:
+    def test_peer_with_lost_link_is_unreachable_until_linked_again(self) -> None:
         self.directory.link_lost("vm-2", False, 0.0)
         member = self.directory.get("vm-2")
         assert member is not None
@@ -51,35 +51,35 @@
         self.directory.link_up("vm-2", 1, 1.0)
         self.assertEqual(len(self.directory.reachable()), 2)
 
-    def test_members_of_the_store_are_dialled_until_they_are_known(self) -> None:
-        self.directory.add_found("vm-3", "10.0.0.3", 7600)
-        self.directory.add_found("vm-1", "10.0.0.1", 7600)
+    def test_members_from_the_store_are_wanted(self) -> None:
+        self.directory.add_discovered("vm-3", "10.0.0.3", 7600)
+        self.directory.add_discovered("vm-1", "10.0.0.1", 7600)
         self.assertEqual(set(self.directory.wanted()), {"vm-2", "vm-3"})
 
-    def test_a_large_mesh_is_not_linked_in_full(self) -> None:
-        for index in range(3, 3 * FULL_MESH_MEMBERS):
+    def test_large_mesh_wants_fewer_links_than_members(self) -> None:
+        for index in range(3, 3 * MAX_FULL_MESH_MEMBERS):
             other = RecordTable()
             make_directory(f"vm-{index}", other)
-            spread(other, self.table)
-        self.assertLess(len(self.directory.wanted()), FULL_MESH_MEMBERS)
+            replicate(other, self.table)
+        self.assertLess(len(self.directory.wanted()), MAX_FULL_MESH_MEMBERS)
 
 
 class LargeMeshTest(unittest.TestCase):
-    """A mesh that grows beyond the size at which each pair has a link."""
+    """Mesh that grows beyond the size up to which every pair has a link."""
 
     def setUp(self) -> None:
         self.table = RecordTable()
         self.directory = make_directory("vm-1", self.table)
-        self.names = [f"vm-{index}" for index in range(2, 2 * FULL_MESH_MEMBERS)]
+        self.names = [f"vm-{index}" for index in range(2, 2 * MAX_FULL_MESH_MEMBERS)]
 
-    def join(self) -> None:
+    def add_members(self) -> None:
         for name in self.names:
             other = RecordTable()
             make_directory(name, other)
-            spread(other, self.table)
+            replicate(other, self.table)
 
-    def test_a_member_whose_link_was_not_needed_can_still_be_used(self) -> None:
-        self.join()
+    def test_member_is_usable_after_loss_of_unwanted_link(self) -> None:
+        self.add_members()
         wanted = self.directory.wanted()
         for name in self.names:
             self.directory.link_lost(name, False, 1.0)
@@ -88,42 +88,42 @@
             assert member is not None
             self.assertEqual(member.usable, name not in wanted, name)
 
-    def test_a_lost_member_is_not_forgotten_as_lost_for_good(self) -> None:
+    def test_lost_member_is_usable_once_its_link_is_unwanted(self) -> None:
         make_directory("vm-2", other := RecordTable())
-        spread(other, self.table)
+        replicate(other, self.table)
         self.directory.link_lost("vm-2", False, 1.0)
         self.assertFalse(self.directory.get("vm-2").usable)  # type: ignore[union-attr]
-        self.join()
+        self.add_members()
         if "vm-2" not in self.directory.wanted():
             self.assertTrue(self.directory.get("vm-2").usable)  # type: ignore[union-attr]
 
 
 class RestartTest(unittest.TestCase):
-    def test_a_successor_outranks_the_record_that_was_left_behind(self) -> None:
-        for incarnation in (3, 5, 9):  # Clocks may have been set back.
+    def test_restarted_node_supersedes_record_of_its_predecessor(self) -> None:
+        for incarnation in (3, 5, 9):  # The clock may have been set back.
             for left in (False, True):
                 with self.subTest(incarnation=incarnation, left=left):
-                    held, table = RecordTable(), RecordTable()
-                    first = make_directory("vm-1", held, 5)
-                    first.publish_servers((SERVER,))
+                    old_table, table = RecordTable(), RecordTable()
+                    predecessor = make_directory("vm-1", old_table, 5)
+                    predecessor.publish_servers((SERVER,))
                     if left:
-                        first.leave(1_000)
-                    second = make_directory("vm-1", table, incarnation)
-                    spread(held, table)
-                    member = second.get("vm-1")
+                        predecessor.leave(1_000)
+                    successor = make_directory("vm-1", table, incarnation)
+                    replicate(old_table, table)
+                    member = successor.get("vm-1")
                     assert member is not None
                     self.assertIs(member.state, MemberState.ALIVE)
-                    self.assertIs(second.local.state, MemberState.ALIVE)
-                    left_behind = held.get(RecordKind.MEMBER, "vm-1")
+                    self.assertIs(successor.local.state, MemberState.ALIVE)
+                    old_record = old_table.get(RecordKind.MEMBER, "vm-1")
                     record = table.get(RecordKind.MEMBER, "vm-1")
-                    assert record is not None and left_behind is not None
-                    self.assertGreater(record.rank, left_behind.rank)
+                    assert record is not None and old_record is not None
+                    self.assertGreater(record.rank, old_record.rank)
 
-    def test_one_that_left_is_not_shown(self) -> None:
+    def test_member_that_left_is_not_listed(self) -> None:
         table = RecordTable()
         directory = make_directory("vm-1", table)
         other = RecordTable()
         peer = make_directory("vm-2", other)
         peer.leave(1_000)
-        spread(other, table)
+        replicate(other, table)
         self.assertEqual([m.name for m in directory.all()], ["vm-1"])
--- a/tests/test_hosted/test_drain.py
+++ b/tests/test_hosted/test_drain.py
@@ -1,4 +1,4 @@
-"""A node that leaves while others leave too: its backend server is used on."""
+"""Drain of a node whose backend server stays in use until the callers have left."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 import trio
 from trio.testing import MockClock
 
-from marigoldchute.hosted.drain import OWNER_RUN_S, RESERVE_S, NodeDrain
+from marigoldchute.hosted.drain import ANNOUNCE_RESERVE_S, OWNER_RESERVE_S, NodeDrain
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
 GRACE_S = 6.0
-RUN_S = 0.3  # Seconds that a request takes on the backend server.
+RUN_S = 0.3  # Service time of a request at the backend server.
 
 
 class FakeCallers:
-    """Callers that send a request from time to time until they are routed elsewhere."""
+    """Callers that send requests at given times."""
 
     def __init__(self, sent_at: Iterable[float]) -> None:
         self._sent_at = sorted(sent_at)
@@ -42,7 +42,7 @@
 
 
 class FakeOwner:
-    """Backend server that has requests as long as it is offered to others."""
+    """Owner side with running requests until it has drained."""
 
     def __init__(self, run_s: float = RUN_S) -> None:
         self._run_s = run_s
@@ -68,8 +68,8 @@
             self.drained_at = trio.current_time()
 
 
-class RollTest(unittest.TestCase):
-    """Nodes restarted one after another, a second apart, each with its grace."""
+class NodeDrainTest(unittest.TestCase):
+    """Nodes restarted one after another, a second apart, each with its grace period."""
 
     def setUp(self) -> None:
         self.owner = FakeOwner()
@@ -77,7 +77,7 @@
         self.announced_at = 0.0
 
     def leave(self, callers: FakeCallers) -> float:
-        """Drain a node; return after how many seconds it was done."""
+        """Drain a node and return the time it took in seconds."""
 
         async def announce_leave() -> None:
             self.announced_at = trio.current_time()
@@ -90,30 +90,30 @@
 
         return trio.run(main, clock=MockClock(autojump_threshold=0))
 
-    def test_backend_server_is_out_only_while_its_last_requests_end(self) -> None:
-        ended = self.leave(FakeCallers([0.4, 1.1, 1.9]))
+    def test_backend_server_is_withdrawn_only_while_its_last_requests_end(self) -> None:
+        elapsed_s = self.leave(FakeCallers([0.4, 1.1, 1.9]))
         assert self.directory.drained_at is not None
-        self.assertLess(ended - self.directory.drained_at, RUN_S + 0.1)
-        self.assertLess(ended, 0.55 * GRACE_S)
+        self.assertLess(elapsed_s - self.directory.drained_at, RUN_S + 0.1)
+        self.assertLess(elapsed_s, 0.55 * GRACE_S)
 
-    def test_it_stays_in_use_while_callers_come(self) -> None:
+    def test_backend_server_stays_in_use_while_callers_send_requests(self) -> None:
         callers = FakeCallers([index / 10 for index in range(29)])
         self.leave(callers)
         assert self.directory.drained_at is not None
         self.assertGreater(self.directory.drained_at, 2.8)
 
-    def test_callers_that_never_leave_do_not_hold_it_past_its_time(self) -> None:
+    def test_drain_ends_in_time_when_callers_never_leave(self) -> None:
         callers = FakeCallers([index / 10 for index in range(100)])
-        ended = self.leave(callers)
+        elapsed_s = self.leave(callers)
         assert self.directory.drained_at is not None
-        self.assertLessEqual(self.directory.drained_at, GRACE_S - OWNER_RUN_S + 0.1)
+        self.assertLessEqual(self.directory.drained_at, GRACE_S - OWNER_RESERVE_S + 0.1)
         self.assertFalse(callers.accepts)
-        self.assertLess(ended, GRACE_S - RESERVE_S)
+        self.assertLess(elapsed_s, GRACE_S - ANNOUNCE_RESERVE_S)
 
-    def test_request_that_does_not_end_leaves_time_for_the_announcement(self) -> None:
+    def test_endless_request_leaves_time_for_the_announcement(self) -> None:
         self.owner = FakeOwner(run_s=100.0)
         self.leave(FakeCallers([]))
-        self.assertAlmostEqual(self.announced_at, GRACE_S - RESERVE_S)
+        self.assertAlmostEqual(self.announced_at, GRACE_S - ANNOUNCE_RESERVE_S)
 
 
 if __name__ == "__main__":
--- a/tests/test_hosted/test_reader.py
+++ b/tests/test_hosted/test_reader.py
@@ -1,4 +1,4 @@
-"""Who reads the store for a mesh, as members come, go and fall silent."""
+"""Selection of store readers and their leader as members join, leave or stop."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from marigoldchute.hosted.reader import (
     BACKUP_AFTER_S,
-    BEACON_FRESH_S,
-    READERS,
+    BEACON_TIMEOUT_S,
+    NUM_READERS,
     Beacon,
     ReaderDuty,
     StoreReader,
@@ -25,7 +25,7 @@
 
 
 class FakeDirectory:
-    """Members that one node can reach."""
+    """Members that one node knows and can reach."""
 
     def __init__(self, name: str, names: list[str], near: set[str]) -> None:
         self._members = [
@@ -42,82 +42,84 @@
         return self._members
 
 
-def duties(names: list[str], near: set[str]) -> dict[str, ReaderDuty]:
+def make_duties(names: list[str], near: set[str]) -> dict[str, ReaderDuty]:
     return {n: ReaderDuty(FakeDirectory(n, names, near)) for n in names}  # type: ignore[arg-type]
 
 
 class ReaderDutyTest(unittest.TestCase):
-    def test_two_members_near_the_store_read(self) -> None:
+    def test_two_members_near_the_store_are_readers(self) -> None:
         near = set(NAMES[:4])
-        found = duties(NAMES, near)
-        readers = {n for n, duty in found.items() if duty.is_reader(0.1)}
-        self.assertEqual(len(readers), READERS)
+        duties = make_duties(NAMES, near)
+        readers = {n for n, duty in duties.items() if duty.is_reader(0.1)}
+        self.assertEqual(len(readers), NUM_READERS)
         self.assertLessEqual(readers, near)
 
-    def test_others_step_in_when_no_beacon_is_heard(self) -> None:
-        found = duties(NAMES, set(NAMES))
-        for duty in found.values():
-            duty.take_beacon("vm-0", 10.0)
-        self.assertEqual(sum(d.is_reader(10.1) for d in found.values()), READERS)
-        soon = 10.0 + BEACON_FRESH_S + 0.1
-        some = sum(d.is_reader(soon) for d in found.values())
-        self.assertGreater(some, READERS)
-        self.assertLess(some, len(NAMES))
-        late = 10.0 + BACKUP_AFTER_S + 0.1
-        self.assertTrue(all(d.is_reader(late) for d in found.values()))
-
-    def test_a_start_leaves_the_first_readers_time_to_tell(self) -> None:
-        found = duties(NAMES, set(NAMES))
-        for duty in found.values():
-            duty.begin(1_000.0)
-        self.assertEqual(sum(d.is_reader(1_000.5) for d in found.values()), READERS)
-
-    def test_a_node_that_is_cut_off_reads_by_itself(self) -> None:
-        duty = duties(["vm-7"], set())["vm-7"]
+    def test_backups_then_all_members_read_without_beacons(self) -> None:
+        duties = make_duties(NAMES, set(NAMES))
+        for duty in duties.values():
+            duty.record_beacon("vm-0", 10.0)
+        self.assertEqual(sum(d.is_reader(10.1) for d in duties.values()), NUM_READERS)
+        after_timeout = 10.0 + BEACON_TIMEOUT_S + 0.1
+        reading = sum(d.is_reader(after_timeout) for d in duties.values())
+        self.assertGreater(reading, NUM_READERS)
+        self.assertLess(reading, len(NAMES))
+        after_backup_delay = 10.0 + BACKUP_AFTER_S + 0.1
+        self.assertTrue(all(d.is_reader(after_backup_delay) for d in duties.values()))
+
+    def test_backups_wait_for_first_beacons_after_start(self) -> None:
+        duties = make_duties(NAMES, set(NAMES))
+        for duty in duties.values():
+            duty.start_timeout(1_000.0)
+        self.assertEqual(
+            sum(d.is_reader(1_000.5) for d in duties.values()), NUM_READERS
+        )
+
+    def test_isolated_node_is_reader(self) -> None:
+        duty = make_duties(["vm-7"], set())["vm-7"]
         self.assertTrue(duty.is_reader(0.0))
 
-    def test_one_of_the_active_readers_leads(self) -> None:
-        found = duties(NAMES, set(NAMES))
-        readers = [n for n, duty in found.items() if duty.is_reader(0.1)]
+    def test_exactly_one_active_reader_is_leader(self) -> None:
+        duties = make_duties(NAMES, set(NAMES))
+        readers = [n for n, duty in duties.items() if duty.is_reader(0.1)]
         for name in readers:
             for other in readers:
                 if other != name:
-                    found[name].take_beacon(other, 1.0)
-        self.assertEqual(sum(found[n].leads(True, 1.1) for n in readers), 1)
-        gone = 1.0 + BEACON_FRESH_S + 0.1
-        self.assertTrue(all(found[n].leads(True, gone) for n in readers))
-
-    def test_one_member_leads_while_nobody_reads(self) -> None:
-        found = duties(NAMES, set(NAMES))
-        for duty in found.values():
-            duty.take_beacon("vm-0", 1.0)
-        gone = 1.0 + BEACON_FRESH_S + 0.1
-        leaders = [n for n, duty in found.items() if duty.leads(False, gone)]
+                    duties[name].record_beacon(other, 1.0)
+        self.assertEqual(sum(duties[n].leads(True, 1.1) for n in readers), 1)
+        expired = 1.0 + BEACON_TIMEOUT_S + 0.1
+        self.assertTrue(all(duties[n].leads(True, expired) for n in readers))
+
+    def test_one_member_is_leader_without_active_reader(self) -> None:
+        duties = make_duties(NAMES, set(NAMES))
+        for duty in duties.values():
+            duty.record_beacon("vm-0", 1.0)
+        expired = 1.0 + BEACON_TIMEOUT_S + 0.1
+        leaders = [n for n, duty in duties.items() if duty.leads(False, expired)]
         self.assertEqual(len(leaders), 1)
-        for name, duty in found.items():
-            told = {name, *duty.deciders(gone)}
-            self.assertIn(leaders[0], told)
+        for name, duty in duties.items():
+            informed = {name, *duty.deciders(expired)}
+            self.assertIn(leaders[0], informed)
 
-    def test_who_reaches_a_minority_leads_only_while_it_reads(self) -> None:
-        found = duties(NAMES, set(NAMES))
-        for name, duty in found.items():
+    def test_member_reaching_a_minority_is_leader_only_while_it_reads(self) -> None:
+        duties = make_duties(NAMES, set(NAMES))
+        for name, duty in duties.items():
             duty.directory.lost = set(NAMES) - {name, "vm-1", "vm-2"}  # type: ignore[attr-defined]
             self.assertFalse(duty.leads(False, 10.0))
             self.assertTrue(duty.leads(True, 10.0))
 
-    def test_a_beacon_that_went_round_is_no_news(self) -> None:
-        duty = duties(NAMES, set(NAMES))["vm-7"]
-        self.assertTrue(duty.is_news(Beacon("vm-0", 5, 1)))
-        self.assertFalse(duty.is_news(Beacon("vm-0", 5, 1)))
-        self.assertFalse(duty.is_news(Beacon("vm-0", 4, 9)))
-        self.assertTrue(duty.is_news(Beacon("vm-0", 5, 2)))
-        self.assertTrue(duty.is_news(Beacon("vm-0", 6, 0)))
+    def test_repeated_or_older_beacon_is_not_newer(self) -> None:
+        duty = make_duties(NAMES, set(NAMES))["vm-7"]
+        self.assertTrue(duty.is_newer(Beacon("vm-0", 5, 1)))
+        self.assertFalse(duty.is_newer(Beacon("vm-0", 5, 1)))
+        self.assertFalse(duty.is_newer(Beacon("vm-0", 4, 9)))
+        self.assertTrue(duty.is_newer(Beacon("vm-0", 5, 2)))
+        self.assertTrue(duty.is_newer(Beacon("vm-0", 6, 0)))
 
 
 class RelayedBeaconTest(unittest.TestCase):
-    """A mesh too large for links between all pairs: beacons go from link to link."""
+    """Beacons are relayed in a mesh too large for links between all pairs."""
 
-    def test_a_chain_of_members_hears_the_reader(self) -> None:
+    def test_new_beacon_is_relayed_once_to_the_other_neighbours(self) -> None:
         sent: list[str] = []
 
         class FakeLink:
@@ -131,7 +133,7 @@
         for all_pairs, expected in ((False, ["vm-3"]), (True, [])):
             sent.clear()
             directory: Any = FakeDirectory("vm-2", NAMES, set(NAMES))
-            directory.links_all_pairs = all_pairs
+            directory.is_full_mesh = all_pairs
             duty = ReaderDuty(directory)
             overlay: Any = types.SimpleNamespace(
                 spread_links=lambda source="": [
--- a/tests/test_hosted/test_registry.py
+++ b/tests/test_hosted/test_registry.py
@@ -1,4 +1,4 @@
-"""Reports of the backend server on a VM, in every order in which they may come."""
+"""Reports and leaves of the backend server on a VM in every order of arrival."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 EXPIRY_S = 6.0
 
 
-def report(
+def make_report(
     sequence: int,
     instance: str = "i-1",
     born_ms: int = 1_000,
@@ -33,136 +33,142 @@
 
     def make_registry(self, table: RecordTable) -> LocalRegistry:
         self.servers: tuple[BackendServer, ...] = ()
-        return LocalRegistry("vm", table, self.take_servers, EventSink(), EXPIRY_S)
+        return LocalRegistry("vm", table, self.store_servers, EventSink(), EXPIRY_S)
 
-    def take_servers(self, servers: tuple[BackendServer, ...]) -> None:
+    def store_servers(self, servers: tuple[BackendServer, ...]) -> None:
         self.servers = servers
 
-    def take(self, *reports: StateReport, now: float = 0.0) -> None:
-        for item in reports:
-            self.registry.take_report(item, now, 0)
+    def apply_reports(self, *reports: StateReport, now: float = 0.0) -> None:
+        for report in reports:
+            self.registry.take_report(report, now, 0)
 
-    def admits(self) -> list[str]:
+    def accepting(self) -> list[str]:
         return [s.instance for s in self.servers if not s.draining]
 
 
-class OrderTest(RegistryTestCase):
-    def test_a_late_report_never_undoes_a_drain(self) -> None:
-        reports = [report(1), report(2, draining=True), report(3, draining=True)]
+class ReportOrderTest(RegistryTestCase):
+    def test_late_report_does_not_end_a_drain(self) -> None:
+        reports = [
+            make_report(1),
+            make_report(2, draining=True),
+            make_report(3, draining=True),
+        ]
         for order in itertools.permutations(reports):
             with self.subTest([r.sequence for r in order]):
                 self.table = RecordTable()
                 self.registry = self.make_registry(self.table)
-                self.take(*order)
-                self.assertEqual(self.admits(), [])
-
-    def test_a_drain_holds_within_a_life_whatever_is_reported_later(self) -> None:
-        self.take(report(1), report(2, draining=True), report(3))
-        self.assertEqual(self.admits(), [])
-
-    def test_the_latest_start_holds_the_address(self) -> None:
-        old, new = report(9), report(1, "i-2", 5_000, service="reservas")
-        self.take(old, new, report(10))
-        self.assertEqual(self.admits(), ["i-2"])
+                self.apply_reports(*order)
+                self.assertEqual(self.accepting(), [])
+
+    def test_drain_is_final_within_an_incarnation(self) -> None:
+        self.apply_reports(
+            make_report(1), make_report(2, draining=True), make_report(3)
+        )
+        self.assertEqual(self.accepting(), [])
+
+    def test_server_with_latest_start_is_current(self) -> None:
+        old, new = make_report(9), make_report(1, "i-2", 5_000, service="reservas")
+        self.apply_reports(old, new, make_report(10))
+        self.assertEqual(self.accepting(), ["i-2"])
         self.assertEqual(self.servers[0].service, "reservas")
 
-    def test_a_restart_under_the_same_id_counts_anew(self) -> None:
-        self.take(report(7, draining=True), report(1, born_ms=9_000))
-        self.assertEqual(self.admits(), ["i-1"])
+    def test_restart_with_same_id_is_new_incarnation(self) -> None:
+        self.apply_reports(make_report(7, draining=True), make_report(1, born_ms=9_000))
+        self.assertEqual(self.accepting(), ["i-1"])
         first = self.servers[0].server_id
-        self.take(report(8))
+        self.apply_reports(make_report(8))
         self.assertEqual(self.servers[0].server_id, first)
 
-    def test_leaving_without_a_drain_stops_new_requests(self) -> None:
-        self.take(report(1))
+    def test_leave_without_drain_stops_new_requests(self) -> None:
+        self.apply_reports(make_report(1))
         self.registry.take_leave("i-2", 0)
-        self.assertEqual(self.admits(), ["i-1"])
+        self.assertEqual(self.accepting(), ["i-1"])
         self.registry.take_leave("i-1", 0)
-        self.assertEqual(self.admits(), [])
+        self.assertEqual(self.accepting(), [])
 
 
 class RestartTest(RegistryTestCase):
-    def test_a_restarted_node_keeps_what_its_predecessor_acknowledged(self) -> None:
-        self.take(report(1), report(2, draining=True))
+    def test_restarted_node_keeps_acknowledged_drain(self) -> None:
+        self.apply_reports(make_report(1), make_report(2, draining=True))
         successor = self.make_registry(self.table)
-        successor.take_report(report(1), 0.0, 0)
-        self.assertEqual(self.admits(), [])
-        successor.take_report(report(1, born_ms=2_000), 0.0, 0)
-        self.assertEqual(self.admits(), ["i-1"])
-
-    def test_what_peers_tell_after_the_first_report_counts_too(self) -> None:
-        self.take(report(1), report(2, draining=True))
-        known = self.table
+        successor.take_report(make_report(1), 0.0, 0)
+        self.assertEqual(self.accepting(), [])
+        successor.take_report(make_report(1, born_ms=2_000), 0.0, 0)
+        self.assertEqual(self.accepting(), ["i-1"])
+
+    def test_leave_record_received_after_first_report_is_applied(self) -> None:
+        self.apply_reports(make_report(1), make_report(2, draining=True))
+        old_table = self.table
         self.table = RecordTable()
         self.registry = self.make_registry(self.table)
-        self.take(report(1))
-        self.assertEqual(self.admits(), ["i-1"])
-        for record in known.of_kind(RecordKind.LEAVING):
+        self.apply_reports(make_report(1))
+        self.assertEqual(self.accepting(), ["i-1"])
+        for record in old_table.of_kind(RecordKind.LEAVING):
             self.table.offer(record, "peer")
-        self.assertEqual(self.admits(), [])
+        self.assertEqual(self.accepting(), [])
 
 
 class AdoptionTest(RegistryTestCase):
-    """A node process that takes over from one that has ended."""
+    """A restarted node process adopts the backend server of its predecessor."""
 
     def restart(self) -> LocalRegistry:
-        """Start a process that gets its records from peers only after its start."""
-        held, self.table = self.table, RecordTable()
+        """Start a process that receives its records from peers after its start."""
+        old_table, self.table = self.table, RecordTable()
         successor = self.make_registry(self.table)
         for kind in (RecordKind.VM_SERVER, RecordKind.LEAVING):
-            for record in held.of_kind(kind):
+            for record in old_table.of_kind(kind):
                 self.table.offer(record, "peer")
         return successor
 
-    def test_a_predecessors_server_is_used_before_it_reports(self) -> None:
-        self.take(report(5))
-        served = self.servers
+    def test_adopted_server_is_used_before_its_report(self) -> None:
+        self.apply_reports(make_report(5))
+        published = self.servers
         successor = self.restart()
-        self.assertEqual(self.admits(), ["i-1"])
-        successor.take_report(report(6), 1.0, 0)
-        self.assertEqual(self.servers, served)
+        self.assertEqual(self.accepting(), ["i-1"])
+        successor.take_report(make_report(6), 1.0, 0)
+        self.assertEqual(self.servers, published)
 
-    def test_one_that_does_not_report_is_dropped(self) -> None:
-        self.take(report(5))
+    def test_adopted_server_without_report_expires(self) -> None:
+        self.apply_reports(make_report(5))
         successor = self.restart()
         successor.expire(100.0)
-        self.assertEqual(self.admits(), ["i-1"])
+        self.assertEqual(self.accepting(), ["i-1"])
         successor.expire(100.1 + EXPIRY_S)
-        self.assertEqual(self.admits(), [])
+        self.assertEqual(self.accepting(), [])
 
-    def test_one_that_was_leaving_is_not_used(self) -> None:
-        self.take(report(5), report(6, draining=True))
+    def test_adopted_server_that_was_leaving_is_not_used(self) -> None:
+        self.apply_reports(make_report(5), make_report(6, draining=True))
         self.restart()
-        self.assertEqual(self.admits(), [])
+        self.assertEqual(self.accepting(), [])
 
-    def test_a_report_that_came_first_stands(self) -> None:
-        self.take(report(5))
-        held = self.table
+    def test_newer_report_is_not_replaced_by_adoption(self) -> None:
+        self.apply_reports(make_report(5))
+        old_table = self.table
         self.table = RecordTable()
         successor = self.make_registry(self.table)
-        successor.take_report(report(1, "i-2", 9_000), 0.0, 0)
-        for record in held.of_kind(RecordKind.VM_SERVER):
+        successor.take_report(make_report(1, "i-2", 9_000), 0.0, 0)
+        for record in old_table.of_kind(RecordKind.VM_SERVER):
             self.table.offer(record, "peer")
-        self.assertEqual(self.admits(), ["i-2"])
+        self.assertEqual(self.accepting(), ["i-2"])
 
 
 class ExpiryTest(RegistryTestCase):
-    def test_a_silent_server_is_dropped_and_taken_back(self) -> None:
-        self.take(report(1), now=0.0)
+    def test_server_without_reports_expires_and_returns_with_next_report(self) -> None:
+        self.apply_reports(make_report(1), now=0.0)
         self.registry.expire(EXPIRY_S - 0.1)
-        self.assertEqual(self.admits(), ["i-1"])
+        self.assertEqual(self.accepting(), ["i-1"])
         self.registry.expire(EXPIRY_S + 0.1)
-        self.assertEqual(self.admits(), [])
-        self.take(report(2), now=EXPIRY_S + 1.0)
-        self.assertEqual(self.admits(), ["i-1"])
+        self.assertEqual(self.accepting(), [])
+        self.apply_reports(make_report(2), now=EXPIRY_S + 1.0)
+        self.assertEqual(self.accepting(), ["i-1"])
 
 
 class LeaveAfterRestartTest(RegistryTestCase):
-    """A server leaves while the node's new process does not know it yet."""
+    """A server leaves before the restarted node process has registered it."""
 
     def restart(self) -> None:
-        """Replace the process; what peers hold comes after the server's word."""
-        self.take(report(1))
+        """Restart the process; the records of peers arrive after the leave."""
+        self.apply_reports(make_report(1))
         peer = self.table
         self.table = RecordTable()
         self.registry = self.make_registry(self.table)
@@ -170,13 +176,13 @@
         for record in peer.of_kind(RecordKind.VM_SERVER):
             self.table.offer(record, "peer")
 
-    def test_it_is_not_taken_over_from_the_record(self) -> None:
+    def test_server_that_left_is_not_adopted(self) -> None:
         self.restart()
-        self.assertEqual(self.admits(), [])
-        self.take(report(5))
-        self.assertEqual(self.admits(), [])
+        self.assertEqual(self.accepting(), [])
+        self.apply_reports(make_report(5))
+        self.assertEqual(self.accepting(), [])
 
-    def test_its_next_life_is_used(self) -> None:
+    def test_next_incarnation_is_used(self) -> None:
         self.restart()
-        self.take(report(1, born_ms=9_000))
-        self.assertEqual(self.admits(), ["i-1"])
+        self.apply_reports(make_report(1, born_ms=9_000))
+        self.assertEqual(self.accepting(), ["i-1"])
--- a/tests/test_hosted/test_relay.py
+++ b/tests/test_hosted/test_relay.py
@@ -1,4 +1,4 @@
-"""Bundles that pass from node to node while links fail."""
+"""Transfer of bundles between nodes over failing links."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from marigoldchute.errors import PeerError
 from marigoldchute.events import EventSink
 from marigoldchute.hosted.catalog import Catalog, Snapshot, make_snapshot
-from marigoldchute.hosted.relay import REOFFER_S, BundleRelay
+from marigoldchute.hosted.relay import REOFFER_INTERVAL_S, BundleRelay
 from marigoldchute.link.handlers import Handlers
 from marigoldchute.link.methods import Method
 
-CALL_S = 0.06  # A trip to another region and back.
+ROUND_TRIP_S = 0.06  # Round trip to another region.
 
 
 def make_bundle(revision: int, service: str = "turnos") -> Snapshot:
@@ -31,14 +31,14 @@
 
 
 class FakeLink:
-    """One direction of a link between two nodes of a test."""
+    """One end of a link between two nodes."""
 
     alive = True
 
-    def __init__(self, peer: Node, back: FakeLink | None = None) -> None:
+    def __init__(self, peer: Node, reverse: FakeLink | None = None) -> None:
         self.peer = types.SimpleNamespace(name=peer.name)
         self.node = peer
-        self.back = back or self
+        self.reverse = reverse or self
         self.failures = 0
         self.calls = 0
         self.loses_offers = False
@@ -48,19 +48,19 @@
             self.node.nursery.start_soon(self._deliver, method, body)
 
     async def _deliver(self, method: int, body: bytes) -> None:
-        await self.node.handle(method, self.back, body)
+        await self.node.handle(method, self.reverse, body)
 
     async def call(self, method: int, body: bytes, timeout_s: float) -> bytes:
-        await trio.sleep(CALL_S)
+        await trio.sleep(ROUND_TRIP_S)
         self.calls += 1
         if self.failures:
             self.failures -= 1
-            raise PeerError("no reply in time")
-        return await self.node.handle(method, self.back, body)
+            raise PeerError("no response in time")
+        return await self.node.handle(method, self.reverse, body)
 
 
 class Node:
-    """Relay and catalog of one node."""
+    """Node with a relay and a catalog."""
 
     def __init__(self, name: str, nursery: trio.Nursery) -> None:
         self.name = name
@@ -78,62 +78,64 @@
         nursery.start_soon(self.relay.run)
 
     async def handle(self, method: int, link: Any, body: bytes) -> bytes:
-        """Serve a message of a peer."""
+        """Handle a message of a peer."""
         handler: Any = self._handlers.find(Method(method))
-        reply: bytes = await handler(link, body)
-        return reply
+        response: bytes = await handler(link, body)
+        return response
 
     def link_to(self, other: Node) -> FakeLink:
-        """Link to another node; return this end."""
+        """Link to another node and return the local end."""
         link = FakeLink(other)
-        link.back = FakeLink(self, link)
+        link.reverse = FakeLink(self, link)
         self.links.append(link)
-        other.links.append(link.back)
+        other.links.append(link.reverse)
         return link
 
 
 class RelayTest(unittest.TestCase):
-    """Two nodes with a link; the first gets a bundle from the store."""
+    """Two linked nodes, the first of which has a bundle of the store."""
 
-    def play(self, *, failures: int = 0, loses: bool = False, bad: bool = False) -> int:
-        """Return the revision that the second node holds after three seconds."""
+    def run_mesh(
+        self, *, failures: int = 0, lose_offers: bool = False, invalid: bool = False
+    ) -> int:
+        """Return the revision of the second node after three seconds."""
         self.calls = 0
 
         async def main() -> int:
             async with trio.open_nursery() as nursery:
                 first, second = Node("vm-1", nursery), Node("vm-2", nursery)
                 link = first.link_to(second)
-                link.back.failures = failures
-                link.loses_offers = loses
-                service = "nowhere" if bad else "turnos"
-                if bad:
+                link.reverse.failures = failures
+                link.loses_offers = lose_offers
+                service = "nowhere" if invalid else "turnos"
+                if invalid:
                     first.catalog.newest = make_bundle(5, service)
                     link.notify(Method.OFFER_BUNDLE, (5).to_bytes(8, "big"))
                 else:
-                    first.catalog.take(make_bundle(5), "the store")
+                    first.catalog.apply(make_bundle(5), "the store")
                 await trio.sleep(0.5)
                 link.loses_offers = False
                 await trio.sleep(2.5)
-                self.calls = link.back.calls
+                self.calls = link.reverse.calls
                 nursery.cancel_scope.cancel()
             return second.catalog.revision
 
         return trio.run(main, clock=MockClock(autojump_threshold=0))
 
-    def test_a_bundle_is_fetched_once(self) -> None:
-        self.assertEqual(self.play(), 5)
+    def test_bundle_is_fetched_once(self) -> None:
+        self.assertEqual(self.run_mesh(), 5)
         self.assertEqual(self.calls, 1)
 
-    def test_a_fetch_that_failed_is_made_again(self) -> None:
-        self.assertEqual(self.play(failures=4), 5)
+    def test_failed_fetch_is_retried(self) -> None:
+        self.assertEqual(self.run_mesh(failures=4), 5)
         self.assertEqual(self.calls, 5)
 
-    def test_an_offer_that_was_lost_is_repeated(self) -> None:
-        self.assertLess(REOFFER_S, 1.5)
-        self.assertEqual(self.play(loses=True), 5)
+    def test_lost_offer_is_repeated(self) -> None:
+        self.assertLess(REOFFER_INTERVAL_S, 1.5)
+        self.assertEqual(self.run_mesh(lose_offers=True), 5)
 
-    def test_a_bundle_that_is_not_allowed_is_not_fetched_without_end(self) -> None:
-        self.assertEqual(self.play(bad=True), 0)
+    def test_invalid_bundle_is_not_fetched_endlessly(self) -> None:
+        self.assertEqual(self.run_mesh(invalid=True), 0)
         self.assertLess(self.calls, 5)
 
 
