--- a/marigoldchute/hosted/reader.py
+++ b/marigoldchute/hosted/reader.py
@@ -298,7 +298,7 @@
                 if self._duty.directory.is_full_mesh:
                     self._send_beacon(self._overlay.neighbours(), beacon)
                 else:
-                    self._send_beacon(self._overlay.spread_links(), beacon)
+                    self._send_beacon(self._overlay.flood_links(), beacon)
 
     def _send_beacon(self, links: list[Link], beacon: Beacon) -> None:
         body = _ENCODER.encode(beacon)
@@ -316,5 +316,5 @@
         self._duty.record_beacon(beacon.member, trio.current_time())
         if not self._duty.directory.is_full_mesh:
             # Most members have no link to the reader, so the beacon is relayed.
-            self._send_beacon(self._overlay.spread_links(link.peer.name), beacon)
+            self._send_beacon(self._overlay.flood_links(link.peer.name), beacon)
         return b""
--- a/marigoldchute/overlay/__init__.py
+++ b/marigoldchute/overlay/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated records and the links over which they spread."""
+"""Replicated records and the overlay of links that carries them."""
--- a/marigoldchute/overlay/dialling.py
+++ b/marigoldchute/overlay/dialling.py
@@ -1,4 +1,4 @@
-"""When to open which link: back-off with full jitter and a rate for the whole node."""
+"""Rate limit and back-off with full jitter for opening links."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Backoff:
-    """Wait before the next attempt at one peer.
+    """Back-off of one peer.
 
     Parameters
     ----------
     not_before : float
-        Monotonic time of the next attempt.
+        Monotonic time before which no attempt is made.
     ceiling_s : float
-        Upper end of the last random wait.
+        Upper bound of the last random wait.
     """
 
     not_before: float = 0.0
@@ -31,7 +31,7 @@
 
 
 class DialSchedule:
-    """Bounds the attempts of one node to open links.
+    """Limits the attempts of a node to open links.
 
     Parameters
     ----------
@@ -43,31 +43,31 @@
         self._rng = rng
         self._backoffs: dict[str, Backoff] = {}
         self._tokens = DIAL_BURST
-        self._refilled_at = 0.0
+        self._last_refill_at = 0.0
 
     def admit(self, name: str, now: float) -> bool:
-        """Whether a peer may be dialled now; takes one attempt off the rate."""
+        """Return whether a peer may be dialled now; if so, consume one attempt."""
         if now < self._backoffs.get(name, Backoff()).not_before:
             return False
-        passed = now - self._refilled_at
-        self._tokens = min(DIAL_BURST, self._tokens + passed * DIALS_PER_S)
-        self._refilled_at = now
+        elapsed_s = now - self._last_refill_at
+        self._tokens = min(DIAL_BURST, self._tokens + elapsed_s * DIALS_PER_S)
+        self._last_refill_at = now
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
-    def fail(self, name: str, now: float) -> None:
-        """Put off the next attempt; full jitter after Brooker (2015)."""
-        last = self._backoffs.get(name, Backoff())
-        ceiling = min(RECONNECT_MAX_S, max(RECONNECT_MIN_S, 2 * last.ceiling_s))
-        wait_s = self._rng.uniform(0.0, ceiling)
-        self._backoffs[name] = Backoff(now + wait_s, ceiling)
+    def record_failure(self, name: str, now: float) -> None:
+        """Delay the next attempt, with full jitter after Brooker (2015)."""
+        previous = self._backoffs.get(name, Backoff())
+        ceiling_s = min(RECONNECT_MAX_S, max(RECONNECT_MIN_S, 2 * previous.ceiling_s))
+        wait_s = self._rng.uniform(0.0, ceiling_s)
+        self._backoffs[name] = Backoff(now + wait_s, ceiling_s)
 
-    def succeed(self, name: str) -> None:
-        """Drop the back-off of a peer."""
+    def record_success(self, name: str) -> None:
+        """Clear the back-off of a peer."""
         self._backoffs.pop(name, None)
 
     def clear(self) -> None:
-        """Drop every back-off."""
+        """Clear the back-off of every peer."""
         self._backoffs.clear()
--- a/marigoldchute/overlay/duties.py
+++ b/marigoldchute/overlay/duties.py
@@ -1,4 +1,4 @@
-"""Which member has a duty, derived from the member list and kept until it changes."""
+"""Assignment of duties to members, derived from the member list."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 class MemberList(Protocol):
-    """Members with a number that changes whenever they do."""
+    """Members with a generation number that increases with each change."""
 
     @property
     def local(self) -> Member:
-        """The member record of this node."""
+        """Member record of this node."""
 
     @property
     def generation(self) -> int:
-        """Rises with each change of the members."""
+        """Number that increases with each change of the members."""
 
     def all(self) -> tuple[Member, ...]:
         """Return every known member that is not gone."""
 
 
 class Duties:
-    """Answers who has a duty without ordering the members again at every question.
+    """Determines the holder of each duty and caches it until the members change.
 
     Parameters
     ----------
@@ -45,33 +45,33 @@
         self._holders: dict[tuple[str, str], str | None] = {}
 
     def holder(self, duty: str, data_centre: str = "") -> str | None:
-        """Return the name of the member that has a duty.
+        """Return the name of the member that holds a duty.
 
         Parameters
         ----------
         duty : str
             ``READER``, ``COLLECTOR`` or ``DRIVER``.
         data_centre : str
-            Data centre of the duty; the whole mesh when empty.
+            Data centre of the duty; empty for a duty of the whole mesh.
 
         Returns
         -------
         str or None
-            The first reachable member in rendezvous order, None when there is none.
+            First reachable member in rendezvous order, None when there is none.
         """
         if self._generation != self._members.generation:
             self._generation = self._members.generation
             self._holders.clear()
         key = (duty, data_centre)
         if key not in self._holders:
-            self._holders[key] = self._first(duty, data_centre)
+            self._holders[key] = self._find_holder(duty, data_centre)
         return self._holders[key]
 
     def is_held_here(self, duty: str, data_centre: str = "") -> bool:
-        """Whether this node has a duty."""
+        """Return whether this node holds a duty."""
         return self.holder(duty, data_centre) == self._members.local.name
 
-    def _first(self, duty: str, data_centre: str) -> str | None:
+    def _find_holder(self, duty: str, data_centre: str) -> str | None:
         candidates = [
             member
             for member in self._members.all()
--- a/marigoldchute/overlay/duty_log.py
+++ b/marigoldchute/overlay/duty_log.py
@@ -1,4 +1,4 @@
-"""Events about the duties that this node takes up and gives up."""
+"""Events for the duties that this node starts and stops holding."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class DutyLog:
-    """Logs when this node starts and stops to collect reports or to decide moves.
+    """Logs when this node starts or stops collecting reports or deciding moves.
 
-    The reader of the store logs for itself, as it starts a task with its duty.
+    The reader of the store logs its own events, as it starts a task with its duty.
 
     Parameters
     ----------
     members : MemberList
         Members of the mesh.
     duties : Duties
-        Who has which duty.
+        Holders of duties.
     log : EventLog
         Event log of the process.
     """
@@ -35,15 +35,15 @@
         self._held: set[str] = set()
 
     def check(self) -> None:
-        """Log what has changed since the last check."""
-        centre = self._members.local.data_centre
-        self._note(COLLECTOR, f"collects reports of {centre}", centre)
-        self._note(DRIVER, "decides moves", "")
+        """Log the changes since the last check."""
+        data_centre = self._members.local.data_centre
+        self._log_change(COLLECTOR, f"collects reports of {data_centre}", data_centre)
+        self._log_change(DRIVER, "decides moves", "")
 
-    def _note(self, duty: str, text: str, data_centre: str) -> None:
+    def _log_change(self, duty: str, text: str, data_centre: str) -> None:
         is_held = self._duties.is_held_here(duty, data_centre)
         if is_held == (duty in self._held):
             return
         self._held ^= {duty}
-        sentence = f"This node {text}." if is_held else f"No more: this node {text}."
+        sentence = f"This node {text}." if is_held else f"This node no longer {text}."
         self._log.emit(PART, duty, sentence, held=is_held)
--- a/marigoldchute/overlay/flooding.py
+++ b/marigoldchute/overlay/flooding.py
@@ -1,11 +1,11 @@
-"""To which neighbours a new record goes on."""
+"""Selection of the neighbours to which a new record is forwarded."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from marigoldchute.overlay.topology import (
-    centre_topic,
+    data_centre_topic,
     region_topic,
     rendezvous_names,
     ring_fingers,
@@ -16,45 +16,46 @@
 
     from marigoldchute.link.handshake import PeerIdentity
 
-CROSSINGS = 2  # Members on either side of a pair of places: one may be frozen.
+# Gateways on each side between two data centres or regions; one of them may be frozen.
+GATEWAYS_PER_SIDE = 2
 
 
-class _Surroundings:
-    """Names of the members that are heard, by how near they are.
+class _NeighbourGroups:
+    """Names of the reachable neighbours, grouped by data centre and region.
 
-    ``home`` and ``region_home`` hold this member too; ``centres`` are the others of its
-    region, ``regions`` all other regions.
+    ``same_data_centre`` and ``same_region`` include this member. ``data_centres`` holds
+    the other data centres of its region, ``regions`` all other regions.
     """
 
     def __init__(self, local: PeerIdentity, neighbours: Iterable[PeerIdentity]) -> None:
-        self.home, self.region_home = [local.name], [local.name]
-        self.centres: dict[str, list[str]] = {}
+        self.same_data_centre, self.same_region = [local.name], [local.name]
+        self.data_centres: dict[str, list[str]] = {}
         self.regions: dict[str, list[str]] = {}
         for peer in neighbours:
             if peer.region != local.region:
                 self.regions.setdefault(peer.region, []).append(peer.name)
                 continue
-            self.region_home.append(peer.name)
+            self.same_region.append(peer.name)
             if peer.data_centre == local.data_centre:
-                self.home.append(peer.name)
+                self.same_data_centre.append(peer.name)
             else:
-                self.centres.setdefault(peer.data_centre, []).append(peer.name)
+                self.data_centres.setdefault(peer.data_centre, []).append(peer.name)
 
 
 class Flooding:
-    """Spreads records widely within a data centre and over few links between places.
+    """Forwards records to many neighbours in a data centre and to few outside of it.
 
-    Where a record begins, and where it enters a data centre, it goes to every neighbour
-    of the data centre; these pass it on to a few along the ring, should the first be
-    interrupted. To another data centre or region it is passed on by the member where
-    it began and by those that come first in an order that all compute alike, each to
-    the first ``CROSSINGS`` members on the other side. Members that are not heard are
-    passed over. Anti-entropy finds what was lost with all of them.
+    The member where a record originates or enters a data centre sends it to every
+    neighbour in that data centre. These forward it to a few members along the ring in
+    case the first member is interrupted. The originating member and the gateways, which
+    come first in an order that all members compute alike, send it to other data centres
+    and regions, each to the first ``GATEWAYS_PER_SIDE`` members there. Unreachable
+    members are skipped. Anti-entropy delivers records that were lost on all paths.
 
     Parameters
     ----------
     local : PeerIdentity
-        This member.
+        Identity of this member.
     """
 
     def __init__(self, local: PeerIdentity) -> None:
@@ -68,56 +69,65 @@
         Parameters
         ----------
         source : PeerIdentity or None
-            Neighbour that the record came from; None for a record of this member.
+            Neighbour that sent the record; None for a record of this member.
         neighbours : iterable of PeerIdentity
-            Linked members that are heard.
+            Reachable linked members.
         """
         local = self._local
-        here = _Surroundings(local, neighbours)
-        targets = self._in_centre(source, here.home)
-        entered = source is None or source.region != local.region
-        if entered:
-            targets |= _across(here.centres, local.data_centre, centre_topic)
+        groups = _NeighbourGroups(local, neighbours)
+        targets = self._targets_in_data_centre(source, groups.same_data_centre)
+        enters_region = source is None or source.region != local.region
+        if enters_region:
+            targets |= _remote_targets(
+                groups.data_centres, local.data_centre, data_centre_topic
+            )
         elif source is not None and source.data_centre == local.data_centre:
-            targets |= self._as_gateway(
-                here.centres, here.home, local.data_centre, centre_topic
+            targets |= self._gateway_targets(
+                groups.data_centres,
+                groups.same_data_centre,
+                local.data_centre,
+                data_centre_topic,
             )
         if source is None:
-            targets |= _across(here.regions, local.region, region_topic)
-        elif not entered:
-            targets |= self._as_gateway(
-                here.regions, here.region_home, local.region, region_topic
+            targets |= _remote_targets(groups.regions, local.region, region_topic)
+        elif not enters_region:
+            targets |= self._gateway_targets(
+                groups.regions, groups.same_region, local.region, region_topic
             )
         return targets - {local.name, source.name if source is not None else ""}
 
-    def _in_centre(self, source: PeerIdentity | None, home: list[str]) -> set[str]:
+    def _targets_in_data_centre(
+        self, source: PeerIdentity | None, same_data_centre: list[str]
+    ) -> set[str]:
         if source is None or source.data_centre != self._local.data_centre:
-            return set(home)
-        return ring_fingers(self._local.name, rendezvous_names(home, "ring"))
+            return set(same_data_centre)
+        return ring_fingers(
+            self._local.name, rendezvous_names(same_data_centre, "ring")
+        )
 
-    def _as_gateway(
+    def _gateway_targets(
         self,
         others: dict[str, list[str]],
-        home: list[str],
+        local_names: list[str],
         place: str,
         topic_of: Callable[[str, str], str],
     ) -> set[str]:
-        mine = {
+        assigned = {
             other: names
             for other, names in others.items()
-            if self._local.name in _first(home, topic_of(place, other))
+            if self._local.name in _select_gateways(local_names, topic_of(place, other))
         }
-        return _across(mine, place, topic_of)
+        return _remote_targets(assigned, place, topic_of)
 
 
-def _across(
+def _remote_targets(
     others: dict[str, list[str]], place: str, topic_of: Callable[[str, str], str]
 ) -> set[str]:
     targets: set[str] = set()
     for other, names in others.items():
-        targets.update(_first(names, topic_of(place, other)))
+        targets.update(_select_gateways(names, topic_of(place, other)))
     return targets
 
 
-def _first(names: list[str], topic: str) -> list[str]:
-    return rendezvous_names(names, topic)[:CROSSINGS]
+def _select_gateways(names: list[str], topic: str) -> list[str]:
+    return rendezvous_names(names, topic)[:GATEWAYS_PER_SIDE]
--- a/marigoldchute/overlay/overlay.py
+++ b/marigoldchute/overlay/overlay.py
@@ -1,4 +1,4 @@
-"""Keeps the links of the overlay and spreads records over them."""
+"""Maintenance of the links of the overlay and flooding of records over them."""
 
 from __future__ import annotations
 
@@ -20,19 +20,20 @@
     from marigoldchute.link.link import Link
     from marigoldchute.overlay.records import Record, RecordTable
 
-FLOOD_BATCH_S = 0.005
-ANTI_ENTROPY_S = 10.0
-LATER_COMPARE_S = 0.6  # A few trips between regions.
-MAINTAIN_S = 0.25
-SIMULTANEOUS_S = 7.5
-UNWANTED_CLOSE_S = 15.0
-RETIRE_LIMIT_S = 10.0  # Longer than requests last.
-RETIRE_UNUSED_S = 1.0  # A request that was sent before the peer switched has come.
-RETIRE_POLL_S = 0.1
+FLOOD_BATCH_INTERVAL_S = 0.005
+ANTI_ENTROPY_INTERVAL_S = 10.0
+LATER_COMPARE_DELAY_S = 0.6  # A few round trips between regions.
+MAINTENANCE_INTERVAL_S = 0.25
+SIMULTANEOUS_WINDOW_S = 7.5
+UNWANTED_IDLE_S = 15.0
+RETIRE_TIMEOUT_S = 10.0  # Longer than any request.
+# Requests that the peer sent before it switched links have arrived by then.
+RETIRE_IDLE_S = 1.0
+RETIRE_POLL_INTERVAL_S = 0.1
 
 
 class PeerDirectory(Protocol):
-    """Where the overlay learns whom to connect to and says whom it cannot reach."""
+    """Source of the peers to connect to and receiver of the state of links."""
 
     def wanted(self) -> dict[str, tuple[str, int]]:
         """Return the address and port of each peer to keep a link to."""
@@ -41,28 +42,28 @@
         """Return addresses to try while no peer is linked."""
 
     def take_strangers(self) -> list[tuple[str, int]]:
-        """Return addresses to dial once, whatever is linked."""
+        """Return addresses to dial once, regardless of existing links."""
 
     def link_lost(self, name: str, refused: bool, now: float) -> None:
-        """Take note that a wanted peer cannot be reached."""
+        """Handle a link that has ended or could not be opened."""
 
     def link_up(self, name: str, incarnation: int, now: float) -> None:
-        """Take note that a peer is linked."""
+        """Handle a new link to a peer."""
 
 
 class Overlay:
-    """Links to neighbours, over which new records are spread and compared.
+    """Links to neighbours, over which records are flooded and compared.
 
     Parameters
     ----------
     endpoint : LinkEndpoint
-        Opens links; knows who this member is.
+        Opens links and holds the identity of this member.
     handlers : Handlers
-        Where the calls of the overlay are registered.
+        Registry for the handlers of the overlay.
     table : RecordTable
-        Records that are spread.
+        Records to replicate.
     rng : random.Random
-        Spreads the times of dialling and comparing.
+        Source of jitter for dialling and comparing.
     """
 
     def __init__(
@@ -86,23 +87,23 @@
         table.on_change(self._flood)
 
     def neighbours(self) -> list[Link]:
-        """Return the live control links, one for each linked peer."""
+        """Return the open control links, one for each linked peer."""
         return [item.link for item in self._neighbours.values() if item.link.alive]
 
     def synced_neighbours(self) -> list[Link]:
-        """Return the live control links over which records were compared."""
+        """Return the open control links over which records were compared."""
         return [
             item.link
             for item in self._neighbours.values()
-            if item.link.alive and item.synced
+            if item.link.alive and item.is_synced
         ]
 
     def is_linked(self, name: str) -> bool:
-        """Whether a control link to a peer is up and heard."""
+        """Return whether an open, unsuspected control link to a peer exists."""
         return self.link_to(name) is not None
 
     def link_to(self, name: str) -> Link | None:
-        """Return the control link to a peer if it is up and heard."""
+        """Return the control link to a peer if it is open and not suspected."""
         neighbour = self._neighbours.get(name)
         if neighbour is None:
             return None
@@ -117,13 +118,13 @@
         self._nursery.start_soon(self._serve_neighbour, link)
 
     def reset(self) -> None:
-        """Close every link and dial anew, after this process was paused."""
+        """Close every link and dial again, after a pause of this process."""
         self._schedule.clear()
         for neighbour in tuple(self._neighbours.values()):
             neighbour.link.close()
 
     async def run(self, directory: PeerDirectory) -> None:
-        """Keep the wanted links until cancelled."""
+        """Maintain the wanted links until cancelled."""
         self._directory = directory
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
@@ -131,7 +132,7 @@
                 wanted = directory.wanted()
                 self._dial_missing(wanted, directory)
                 self._close_unwanted(wanted)
-                await trio.sleep(MAINTAIN_S * self._rng.uniform(0.5, 1.5))
+                await trio.sleep(MAINTENANCE_INTERVAL_S * self._rng.uniform(0.5, 1.5))
 
     def _dial_missing(
         self, wanted: dict[str, tuple[str, int]], directory: PeerDirectory
@@ -150,16 +151,16 @@
             self._nursery.start_soon(self._dial, name, address, port)
 
     def _close_unwanted(self, wanted: dict[str, tuple[str, int]]) -> None:
-        """Close links that this node opened and does not need any more.
+        """Close links that this node opened and no longer wants.
 
-        Requests travel on these links too, so one that is still used stays open.
+        Links also carry requests, so one that is still used stays open.
         """
         if len(wanted.keys() & self._neighbours.keys()) == 0:
             return
         for name, neighbour in self._neighbours.items():
             link = neighbour.link
-            unused = link.unused_s > UNWANTED_CLOSE_S
-            if link.opened_here and name not in wanted and unused:
+            is_idle = link.unused_s > UNWANTED_IDLE_S
+            if link.opened_here and name not in wanted and is_idle:
                 link.close()
 
     async def _dial(self, name: str, address: str, port: int) -> None:
@@ -167,18 +168,18 @@
             link = await self._endpoint.connect(address, port, "control")
         except (PeerError, AuthError) as exc:
             refused = exc.code is ResultCode.PEER_REFUSED
-            self._note_failure(name, refused)
+            self._handle_dial_failure(name, refused)
             return
         finally:
             self._dialling.discard(name)
-        self._schedule.succeed(name)
+        self._schedule.record_success(name)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._endpoint.run_link, link)
             nursery.start_soon(self._serve_neighbour, link)
 
-    def _note_failure(self, name: str, refused: bool) -> None:
+    def _handle_dial_failure(self, name: str, refused: bool) -> None:
         now = trio.current_time()
-        self._schedule.fail(name, now)
+        self._schedule.record_failure(name, now)
         if self._directory is not None:
             self._directory.link_lost(name, refused, now)
 
@@ -188,7 +189,7 @@
         if peer.name == self._name:
             link.close()
             return
-        if not self._take_over(peer.name, link):
+        if not self._replace_link(peer.name, link):
             self._retire(link)
             return
         self._neighbours[peer.name] = neighbour
@@ -205,19 +206,20 @@
             del self._neighbours[peer.name]
             self._directory.link_lost(peer.name, False, trio.current_time())
 
-    def _take_over(self, name: str, link: Link) -> bool:
-        """Decide between a new link and the one held; close the held one if it loses.
+    def _replace_link(self, name: str, link: Link) -> bool:
+        """Return whether a new link replaces the existing one, and retire that if so.
 
-        The newer link wins, because its opener had cause to open it. Only when both
-        ends connected at the same time do both keep the link of the lower name.
+        The newer link is kept, because its opener had a reason to open it. When both
+        ends connected at the same time, both keep the link that the member with the
+        lower name opened.
         """
-        held = self._neighbours.get(name)
-        if held is None or not held.link.alive:
+        existing = self._neighbours.get(name)
+        if existing is None or not existing.link.alive:
             return True
-        old = held.link
+        old = existing.link
         simultaneous = (
             old.opened_here != link.opened_here
-            and old.age_s < SIMULTANEOUS_S
+            and old.age_s < SIMULTANEOUS_WINDOW_S
             and not old.suspect
             and old.peer.incarnation == link.peer.incarnation
         )
@@ -228,7 +230,7 @@
         return True
 
     def _retire(self, link: Link) -> None:
-        """Close a link that another one replaces, once nothing comes on it any more."""
+        """Close a replaced link once it is idle, or at once when it is suspected."""
         if link.suspect:
             link.close()
         else:
@@ -236,82 +238,82 @@
             self._nursery.start_soon(_close_when_idle, link)
 
     def _flood(self, record: Record, source: str) -> None:
-        for name in self._spread_targets(source):
-            self._neighbours[name].queue(record)
+        for name in self._flood_targets(source):
+            self._neighbours[name].enqueue(record)
 
-    def spread_links(self, source: str = "") -> list[Link]:
-        """Return the links over which news from a neighbour go on.
+    def flood_links(self, source: str = "") -> list[Link]:
+        """Return the links over which a message from a neighbour is forwarded.
 
         Parameters
         ----------
         source : str
-            The neighbour; empty for news of this member.
+            Name of the neighbour; empty for a message of this member.
         """
-        return [self._neighbours[name].link for name in self._spread_targets(source)]
+        return [self._neighbours[name].link for name in self._flood_targets(source)]
 
-    def _spread_targets(self, source: str) -> set[str]:
+    def _flood_targets(self, source: str) -> set[str]:
         origin = self._neighbours.get(source)
-        heard = [
+        reachable = [
             item.link.peer
             for item in self._neighbours.values()
             if item.link.alive and not item.link.suspect
         ]
-        return self._flooding.targets(origin.link.peer if origin else None, heard)
+        return self._flooding.targets(origin.link.peer if origin else None, reachable)
 
     async def _push_records(self, neighbour: _Neighbour) -> None:
         while True:
-            await neighbour.ready.wait()
-            await trio.sleep(FLOOD_BATCH_S)
+            await neighbour.has_queued.wait()
+            await trio.sleep(FLOOD_BATCH_INTERVAL_S)
             try:
-                push(neighbour.link, neighbour.take())
+                push(neighbour.link, neighbour.pop_queued())
             except PeerError:
                 return
 
     async def _run_repair(self, neighbour: _Neighbour) -> None:
         if self._compares_with_region(neighbour.link.peer.region):
-            # By then most of what differs has come from there, and is not sent again.
-            await trio.sleep(LATER_COMPARE_S * self._rng.uniform(0.5, 1.5))
-        neighbour.compares = True
+            # Most differences arrive meanwhile from that region and are not sent again.
+            await trio.sleep(LATER_COMPARE_DELAY_S * self._rng.uniform(0.5, 1.5))
+        neighbour.compare_started = True
         while True:
             try:
-                await self._repair.run_once(neighbour.link)
-                neighbour.synced = True
+                await self._repair.synchronize(neighbour.link)
+                neighbour.is_synced = True
             except PeerError:
                 if not neighbour.link.alive:
                     return
-            await trio.sleep(ANTI_ENTROPY_S * self._rng.uniform(0.5, 1.5))
+            await trio.sleep(ANTI_ENTROPY_INTERVAL_S * self._rng.uniform(0.5, 1.5))
 
     def _compares_with_region(self, region: str) -> bool:
-        """Whether records were or are compared with a neighbour of a region."""
+        """Return whether a comparison with a neighbour of a region has started."""
         return any(
-            item.compares and item.link.alive and item.link.peer.region == region
+            item.compare_started and item.link.alive and item.link.peer.region == region
             for item in self._neighbours.values()
         )
 
 
 async def _close_when_idle(link: Link) -> None:
-    with trio.move_on_after(RETIRE_LIMIT_S):
-        while link.alive and link.unused_s < RETIRE_UNUSED_S:
-            await trio.sleep(RETIRE_POLL_S)
+    with trio.move_on_after(RETIRE_TIMEOUT_S):
+        while link.alive and link.unused_s < RETIRE_IDLE_S:
+            await trio.sleep(RETIRE_POLL_INTERVAL_S)
     link.close()
 
 
 class _Neighbour:
-    """A linked peer and the records that wait to be pushed to it."""
+    """Linked peer and the records queued for it."""
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.ready = trio.Event()
-        self.compares = False
-        self.synced = False
-        self._waiting: dict[tuple[int, str], Record] = {}
-
-    def queue(self, record: Record) -> None:
-        self._waiting[(record.kind, record.key)] = record
-        self.ready.set()
-
-    def take(self) -> list[Record]:
-        records = list(self._waiting.values())
-        self._waiting.clear()
-        self.ready = trio.Event()
+        self.has_queued = trio.Event()
+        self.compare_started = False
+        self.is_synced = False
+        self._queued: dict[tuple[int, str], Record] = {}
+
+    def enqueue(self, record: Record) -> None:
+        self._queued[(record.kind, record.key)] = record
+        self.has_queued.set()
+
+    def pop_queued(self) -> list[Record]:
+        records = list(self._queued.values())
+        self._queued.clear()
+        self.has_queued = trio.Event()
         return records
--- a/marigoldchute/overlay/records.py
+++ b/marigoldchute/overlay/records.py
@@ -1,7 +1,7 @@
-"""Replicated records: the state that every node holds a copy of.
+"""Replicated records, of which every node stores a copy.
 
 A record is replaced only by one of the same kind and key with a higher rank, so copies
-converge whatever the order, loss or repetition of messages.
+converge even when messages are reordered, lost or repeated.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class RecordKind(enum.IntEnum):
-    """What a record's body holds."""
+    """Type of the content of a record."""
 
     MEMBER = 1
     BUNDLE = 2
@@ -41,7 +41,7 @@
     kind : int
         A ``RecordKind``.
     key : str
-        Name within the kind.
+        Unique name within the kind.
     rank : tuple of (int, int)
         Order among records of the same kind and key; the higher one wins.
     body : bytes
@@ -67,10 +67,10 @@
 
 
 class RecordTable:
-    """The records that this node holds.
+    """Table of the records that this node stores.
 
-    Digests are kept per bucket so that two tables find their differences with a few
-    bytes when they are equal and one bucket's worth of names when one record differs.
+    Digests are kept per bucket. Comparing equal tables takes a few bytes; when one
+    record differs, the identities of one bucket are exchanged as well.
     """
 
     def __init__(self) -> None:
@@ -81,40 +81,40 @@
         self._on_change: list[Callable[[Record, str], None]] = []
 
     def validate(self, kind: RecordKind, validator: Validator) -> None:
-        """Refuse records of a kind for which ``validator`` returns False."""
+        """Reject records of a kind for which ``validator`` returns False."""
         self._validators[kind] = validator
 
     def subscribe(self, kind: RecordKind, listener: Listener) -> None:
-        """Call ``listener`` with each newly held record of a kind."""
+        """Call ``listener`` with each newly stored record of a kind."""
         self._listeners.setdefault(kind, []).append(listener)
 
     def on_change(self, listener: Callable[[Record, str], None]) -> None:
-        """Call ``listener`` with each newly held record and its source peer."""
+        """Call ``listener`` with each newly stored record and its source peer."""
         self._on_change.append(listener)
 
     def offer(self, record: Record, source: str = "") -> bool:
-        """Hold a record if it ranks above the one held.
+        """Store a record if its rank is higher than that of the stored one.
 
         Parameters
         ----------
         record : Record
             Record from this node or a peer.
         source : str
-            Name of the peer it came from; empty for this node.
+            Name of the peer that sent the record; empty for this node.
 
         Returns
         -------
         bool
-            Whether the record is new.
+            Whether the record was stored.
         """
         identity = (record.kind, record.key)
-        held = self._records.get(identity)
-        if held is not None and held.rank >= record.rank:
+        stored = self._records.get(identity)
+        if stored is not None and stored.rank >= record.rank:
             return False
         validator = self._validators.get(record.kind)
         if validator is not None and not validator(record):
             return False
-        self._replace(identity, held, record)
+        self._replace(identity, stored, record)
         for listener in self._listeners.get(record.kind, ()):
             listener(record)
         for change_listener in self._on_change:
@@ -122,18 +122,18 @@
         return True
 
     def get(self, kind: RecordKind, key: str) -> Record | None:
-        """Return the held record of a kind and key."""
+        """Return the stored record of a kind and key."""
         return self._records.get((kind, key))
 
     def of_kind(self, kind: RecordKind) -> list[Record]:
-        """Return every held record of a kind."""
+        """Return every stored record of a kind."""
         return [record for (k, _), record in self._records.items() if k == kind]
 
     def discard(self, kind: RecordKind, key: str) -> None:
-        """Drop a record."""
-        held = self._records.pop((kind, key), None)
-        if held is not None:
-            self._toggle_digest(held)
+        """Remove a record."""
+        stored = self._records.pop((kind, key), None)
+        if stored is not None:
+            self._toggle_digest(stored)
 
     def digests(self) -> list[int]:
         """Return the digest of each bucket, ``BUCKETS`` integers of 64 bits."""
@@ -141,31 +141,31 @@
 
     def ids_in(self, buckets: Iterable[int]) -> list[RecordId]:
         """Return the identities of the records in some buckets."""
-        wanted = set(buckets)
+        selected = set(buckets)
         return [
             RecordId(record.kind, record.key, record.rank)
             for record in self._records.values()
-            if bucket_of(record.kind, record.key) in wanted
+            if bucket_of(record.kind, record.key) in selected
         ]
 
     def newer_than(
         self, ids: Iterable[RecordId], buckets: Iterable[int]
     ) -> list[Record]:
-        """Return the held records in some buckets that rank above those listed."""
-        known = {(item.kind, item.key): item.rank for item in ids}
-        wanted = set(buckets)
+        """Return the stored records in buckets that ``ids`` lacks or has older."""
+        known_ranks = {(item.kind, item.key): item.rank for item in ids}
+        selected = set(buckets)
         return [
             record
             for identity, record in self._records.items()
-            if bucket_of(*identity) in wanted
-            and (identity not in known or known[identity] < record.rank)
+            if bucket_of(*identity) in selected
+            and (identity not in known_ranks or known_ranks[identity] < record.rank)
         ]
 
     def _replace(
-        self, identity: tuple[int, str], held: Record | None, record: Record
+        self, identity: tuple[int, str], stored: Record | None, record: Record
     ) -> None:
-        if held is not None:
-            self._toggle_digest(held)
+        if stored is not None:
+            self._toggle_digest(stored)
         self._records[identity] = record
         self._toggle_digest(record)
 
--- a/marigoldchute/overlay/repair.py
+++ b/marigoldchute/overlay/repair.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: two neighbours compare digests and exchange only what differs."""
+"""Anti-entropy between neighbours: they compare digests and exchange differences."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 class Difference(msgspec.Struct, frozen=True, array_like=True):
-    """Buckets that differ, with the records that the caller holds in them."""
+    """Buckets that differ, with the identities of the caller's records in them."""
 
     buckets: list[int]
     ids: list[RecordId]
 
 
-class Pulled(msgspec.Struct, frozen=True, array_like=True):
-    """Records that the caller lacks, and the names of those the answerer lacks.
+class PullResponse(msgspec.Struct, frozen=True, array_like=True):
+    """Records that the caller lacks and identities of those that the callee lacks.
 
-    ``more`` says that the records were cut at ``MAX_BATCH_BYTES``.
+    ``more`` is set when ``records`` was truncated at ``MAX_BATCH_BYTES``.
     """
 
     records: list[Record]
@@ -43,11 +43,11 @@
 _DIGESTS = msgspec.msgpack.Decoder(list[int])
 _BUCKETS = msgspec.msgpack.Decoder(list[int])
 _DIFFERENCE = msgspec.msgpack.Decoder(Difference)
-_PULLED = msgspec.msgpack.Decoder(Pulled)
+_PULL_RESPONSE = msgspec.msgpack.Decoder(PullResponse)
 
 
 def split_batches(records: Iterable[Record]) -> Iterator[list[Record]]:
-    """Cut records into batches of about ``MAX_BATCH_BYTES``, at least one in each."""
+    """Split records into non-empty batches of about ``MAX_BATCH_BYTES``."""
     batch: list[Record] = []
     size = 0
     for record in records:
@@ -61,31 +61,31 @@
 
 
 def push(link: Link, records: Iterable[Record]) -> None:
-    """Send records to a peer in bounded batches."""
+    """Send records to a peer in batches of bounded size."""
     for batch in split_batches(records):
         link.notify(Method.PUSH_RECORDS, msgspec.msgpack.encode(batch))
 
 
 class Repair:
-    """Serves and runs comparisons of this node's records with those of peers."""
+    """Compares the records of this node with those of peers, as caller and callee."""
 
     def __init__(self, table: RecordTable, handlers: Handlers) -> None:
         self._table = table
-        handlers.register(Method.PUSH_RECORDS, self._take_records)
-        handlers.register(Method.COMPARE_DIGESTS, self._compare_digests)
-        handlers.register(Method.PULL_RECORDS, self._pull_records)
+        handlers.register(Method.PUSH_RECORDS, self._handle_push)
+        handlers.register(Method.COMPARE_DIGESTS, self._handle_compare)
+        handlers.register(Method.PULL_RECORDS, self._handle_pull)
 
-    async def run_once(self, link: Link) -> None:
-        """Bring this node and a peer to the same records.
+    async def synchronize(self, link: Link) -> None:
+        """Synchronize the records of this node and a peer.
 
         Raises
         ------
         PeerError
-            The peer did not answer, or not as agreed.
+            The peer did not respond or sent an invalid response.
         """
         digests = msgspec.msgpack.encode(self._table.digests())
-        reply = await link.call(Method.COMPARE_DIGESTS, digests, CALL_TIMEOUT_S)
-        buckets = _decode(_BUCKETS, reply)
+        response = await link.call(Method.COMPARE_DIGESTS, digests, CALL_TIMEOUT_S)
+        buckets = _decode(_BUCKETS, response)
         more = bool(buckets)
         while more:
             more = await self._pull(link, buckets)
@@ -93,34 +93,34 @@
     async def _pull(self, link: Link, buckets: list[int]) -> bool:
         difference = Difference(buckets, self._table.ids_in(buckets))
         body = msgspec.msgpack.encode(difference)
-        reply = await link.call(Method.PULL_RECORDS, body, CALL_TIMEOUT_S)
-        pulled = _decode(_PULLED, reply)
-        taken = [self._table.offer(item, link.peer.name) for item in pulled.records]
-        wanted = {(item.kind, item.key) for item in pulled.missing}
+        response = await link.call(Method.PULL_RECORDS, body, CALL_TIMEOUT_S)
+        result = _decode(_PULL_RESPONSE, response)
+        stored = [self._table.offer(item, link.peer.name) for item in result.records]
+        missing_ids = {(item.kind, item.key) for item in result.missing}
         push(
             link,
             (
                 record
                 for record in self._table.newer_than((), buckets)
-                if (record.kind, record.key) in wanted
+                if (record.kind, record.key) in missing_ids
             ),
         )
-        return pulled.more and any(taken)
+        return result.more and any(stored)
 
-    async def _take_records(self, link: Link, body: bytes) -> bytes:
+    async def _handle_push(self, link: Link, body: bytes) -> bytes:
         for record in _decode(_RECORDS, body):
             self._table.offer(record, link.peer.name)
         return b""
 
-    async def _compare_digests(self, link: Link, body: bytes) -> bytes:
+    async def _handle_compare(self, link: Link, body: bytes) -> bytes:
         theirs = _decode(_DIGESTS, body)
         if len(theirs) != BUCKETS:
-            raise PeerError("digests of another size", ResultCode.PEER_PROTOCOL)
+            raise PeerError("unexpected number of digests", ResultCode.PEER_PROTOCOL)
         ours = self._table.digests()
         differing = [i for i, digest in enumerate(ours) if theirs[i] != digest]
         return msgspec.msgpack.encode(differing)
 
-    async def _pull_records(self, link: Link, body: bytes) -> bytes:
+    async def _handle_pull(self, link: Link, body: bytes) -> bytes:
         difference = _decode(_DIFFERENCE, body)
         batches = split_batches(
             self._table.newer_than(difference.ids, difference.buckets)
@@ -136,12 +136,12 @@
             for item in difference.ids
             if ours.get((item.kind, item.key), (-1, -1)) < item.rank
         ]
-        pulled = Pulled(records, [] if more else missing, more)
-        return msgspec.msgpack.encode(pulled)
+        result = PullResponse(records, [] if more else missing, more)
+        return msgspec.msgpack.encode(result)
 
 
 def _decode(decoder: msgspec.msgpack.Decoder, body: bytes):  # type: ignore[no-untyped-def]
     try:
         return decoder.decode(body)
     except msgspec.DecodeError as exc:
-        raise PeerError(f"bad message: {exc}", ResultCode.PEER_PROTOCOL) from exc
+        raise PeerError(f"malformed message: {exc}", ResultCode.PEER_PROTOCOL) from exc
--- a/marigoldchute/overlay/topology.py
+++ b/marigoldchute/overlay/topology.py
@@ -1,9 +1,9 @@
-"""Which peers a node keeps links to, derived from the members alone.
+"""Selection of the peers to which a node keeps links, from the member list alone.
 
 Within a data centre the members form a ring in the order of their hashed names, with
 fingers to the members 1, 2, 4, ... places ahead, so that a record reaches every member
-in a logarithmic number of hops. Between data centres a few members, chosen by
-rendezvous hashing, keep links; between regions as well.
+in a logarithmic number of hops. A few members, the gateways, are selected by
+rendezvous hashing to keep links between data centres and between regions.
 """
 
 from __future__ import annotations
@@ -20,14 +20,15 @@
     from marigoldchute.membership.model import Member
 
 GATEWAYS_PER_PAIR = 2
-WEIGHTS_KEPT = 4096  # 0.5 MB; a record of 100 members in 6 data centres needs 1,000.
+# 0.5 MB; flooding a record to 100 members in 6 data centres needs 1,000 entries.
+WEIGHT_CACHE_SIZE = 4096
 
 
 def rendezvous_order(members: Iterable[Member], topic: str) -> list[Member]:
-    """Return members in an order that all nodes compute alike for a topic.
+    """Return members in the order that all nodes compute alike for a topic.
 
-    Highest-random-weight hashing after Thaler and Ravishankar (1996): the loss of one
-    member moves only its own duties.
+    This is highest-random-weight hashing after Thaler and Ravishankar (1996): the loss
+    of a member reassigns only its own duties.
     """
     return sorted(members, key=lambda member: _weight(member.name, topic))
 
@@ -37,20 +38,20 @@
     return sorted(names, key=lambda name: _weight(name, topic))
 
 
-@functools.lru_cache(maxsize=WEIGHTS_KEPT)
+@functools.lru_cache(maxsize=WEIGHT_CACHE_SIZE)
 def _weight(name: str, topic: str) -> bytes:
     return hashlib.blake2b(f"{topic}/{name}".encode(), digest_size=8).digest()
 
 
 def region_topic(region: str, other: str) -> str:
-    """Return the topic whose order picks the gateways between two regions."""
+    """Return the topic whose order selects the gateways between two regions."""
     first, second = sorted((region, other))
     return f"region/{first}/{second}"
 
 
-def centre_topic(centre: str, other: str) -> str:
-    """Return the topic whose order picks the gateways between two data centres."""
-    first, second = sorted((centre, other))
+def data_centre_topic(data_centre: str, other: str) -> str:
+    """Return the topic whose order selects the gateways between data centres."""
+    first, second = sorted((data_centre, other))
     return f"centre/{first}/{second}"
 
 
@@ -71,14 +72,14 @@
     Parameters
     ----------
     local : Member
-        This node.
+        Member record of this node.
     members : iterable of Member
         Every known member, this node included.
 
     Returns
     -------
     set of str
-        Names of peers; links that peers open to this node come on top.
+        Names of the peers; peers may open further links to this node.
     """
     reachable = [
         member
@@ -89,8 +90,10 @@
 
 
 def _ring_fingers(local: Member, members: list[Member]) -> set[str]:
-    same = [member for member in members if member.data_centre == local.data_centre]
-    ring = rendezvous_order(same, "ring")
+    candidates = [
+        member for member in members if member.data_centre == local.data_centre
+    ]
+    ring = rendezvous_order(candidates, "ring")
     names = [member.name for member in ring]
     if local.name not in names:
         return set(names[:GATEWAYS_PER_PAIR])
@@ -99,31 +102,31 @@
 
 def _gateway_peers(local: Member, members: list[Member]) -> set[str]:
     peers: set[str] = set()
-    by_centre: dict[str, list[Member]] = {}
+    by_data_centre: dict[str, list[Member]] = {}
     by_region: dict[str, list[Member]] = {}
     for member in members:
-        by_centre.setdefault(member.data_centre, []).append(member)
+        by_data_centre.setdefault(member.data_centre, []).append(member)
         by_region.setdefault(member.region, []).append(member)
-    home = by_centre.get(local.data_centre, [])
-    for centre, others in by_centre.items():
-        if centre > local.data_centre and others[0].region == local.region:
-            topic = centre_topic(local.data_centre, centre)
-            peers |= _paired(local, home, others, topic)
-    region_home = by_region.get(local.region, [])
+    same_data_centre = by_data_centre.get(local.data_centre, [])
+    for data_centre, others in by_data_centre.items():
+        if data_centre > local.data_centre and others[0].region == local.region:
+            topic = data_centre_topic(local.data_centre, data_centre)
+            peers |= _select_paired_gateways(local, same_data_centre, others, topic)
+    same_region = by_region.get(local.region, [])
     for region, others in by_region.items():
         if region > local.region:
             topic = region_topic(local.region, region)
-            peers |= _paired(local, region_home, others, topic)
+            peers |= _select_paired_gateways(local, same_region, others, topic)
     return peers
 
 
-def _paired(
-    local: Member, home: list[Member], others: list[Member], topic: str
+def _select_paired_gateways(
+    local: Member, local_members: list[Member], others: list[Member], topic: str
 ) -> set[str]:
-    ours = rendezvous_order(home, topic)[:GATEWAYS_PER_PAIR]
-    theirs = rendezvous_order(others, topic)[:GATEWAYS_PER_PAIR]
+    local_gateways = rendezvous_order(local_members, topic)[:GATEWAYS_PER_PAIR]
+    other_gateways = rendezvous_order(others, topic)[:GATEWAYS_PER_PAIR]
     return {
         other.name
-        for mine, other in zip(ours, theirs, strict=False)
-        if mine.name == local.name
+        for gateway, other in zip(local_gateways, other_gateways, strict=False)
+        if gateway.name == local.name
     }
--- a/tests/test_hosted/test_reader.py
+++ b/tests/test_hosted/test_reader.py
@@ -136,7 +136,7 @@
             directory.is_full_mesh = all_pairs
             duty = ReaderDuty(directory)
             overlay: Any = types.SimpleNamespace(
-                spread_links=lambda source="": [
+                flood_links=lambda source="": [
                     link for link in links if link.peer.name != source
                 ]
             )
--- a/tests/test_overlay/test_dialling.py
+++ b/tests/test_overlay/test_dialling.py
@@ -1,4 +1,4 @@
-"""Rate and back-off of attempts to open links."""
+"""Rate limit and back-off of attempts to open links."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DialScheduleTest(unittest.TestCase):
-    def test_rate_of_the_node_is_bounded_whatever_it_wants(self) -> None:
+    def test_rate_of_attempts_is_limited(self) -> None:
         schedule = DialSchedule(random.Random(1))
         admitted = sum(
             schedule.admit(f"peer-{i}", 100.0 + second)
@@ -23,12 +23,12 @@
         )
         self.assertLessEqual(admitted, DIAL_BURST + 9 * DIALS_PER_S)
 
-    def test_failures_spread_over_a_growing_bounded_time(self) -> None:
+    def test_waits_after_failures_are_spread_up_to_the_maximum(self) -> None:
         waits = []
         for seed in range(200):
             schedule = DialSchedule(random.Random(seed))
             for _ in range(8):
-                schedule.fail("peer", 100.0)
+                schedule.record_failure("peer", 100.0)
             wait = next(
                 tenth / 10
                 for tenth in range(100)
@@ -39,9 +39,9 @@
         self.assertGreater(max(waits), 0.8 * RECONNECT_MAX_S)
         self.assertLess(min(waits), 0.2 * RECONNECT_MAX_S)
 
-    def test_success_ends_the_back_off(self) -> None:
+    def test_success_clears_the_back_off(self) -> None:
         schedule = DialSchedule(random.Random(1))
         for _ in range(8):
-            schedule.fail("peer", 100.0)
-        schedule.succeed("peer")
+            schedule.record_failure("peer", 100.0)
+        schedule.record_success("peer")
         self.assertTrue(schedule.admit("peer", 100.0))
--- a/tests/test_overlay/test_duty_log.py
+++ b/tests/test_overlay/test_duty_log.py
@@ -1,4 +1,4 @@
-"""Events about duties."""
+"""Events for the duties of a node."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from marigoldchute.overlay.duty_log import DutyLog
 
 
-def member(name: str, state: MemberState = MemberState.ALIVE) -> Member:
+def make_member(name: str, state: MemberState = MemberState.ALIVE) -> Member:
     return Member(name, 1, 1, "10.0.0.1", 7000, "seoul-a", "seoul", state)
 
 
 class FakeMembers:
-    """Members that a test replaces."""
+    """Members that a test can change."""
 
     def __init__(self) -> None:
-        self.local = member("vm-1")
+        self.local = make_member("vm-1")
         self.members = [self.local]
         self.generation = 0
 
@@ -27,18 +27,18 @@
 
 
 class DutyLogTest(unittest.TestCase):
-    def test_each_change_is_logged_once(self) -> None:
+    def test_each_change_of_a_duty_is_logged_once(self) -> None:
         members, log = FakeMembers(), EventSink()
-        duties = DutyLog(members, Duties(members), log)
-        duties.check()
-        duties.check()
+        duty_log = DutyLog(members, Duties(members), log)
+        duty_log.check()
+        duty_log.check()
         held = [(event.event, event.fields["held"]) for event in log.events]
         self.assertEqual(held, [(COLLECTOR, True), (DRIVER, True)])
         for n in range(2, 40):
-            members.members.append(member(f"vm-{n}"))
+            members.members.append(make_member(f"vm-{n}"))
         members.generation += 1
         self.assertNotEqual(Duties(members).holder(DRIVER), "vm-1")
-        duties.check()
-        duties.check()
-        drops = [e.event for e in log.events if not e.fields["held"]]
-        self.assertEqual(drops.count(DRIVER), 1)
+        duty_log.check()
+        duty_log.check()
+        lost = [e.event for e in log.events if not e.fields["held"]]
+        self.assertEqual(lost.count(DRIVER), 1)
--- a/tests/test_overlay/test_flooding.py
+++ b/tests/test_overlay/test_flooding.py
@@ -1,4 +1,4 @@
-"""Spread of a record over a mesh: who gets it, and how often it crosses regions."""
+"""Flooding of a record: reached members and number of pushes between regions."""
 
 from __future__ import annotations
 
@@ -8,31 +8,33 @@
 import unittest
 
 from marigoldchute.link.handshake import PeerIdentity
-from marigoldchute.overlay.flooding import CROSSINGS, Flooding
+from marigoldchute.overlay.flooding import GATEWAYS_PER_SIDE, Flooding
 
 REGIONS = ("cartago", "limon", "guanacaste")
 
 
 class Mesh:
-    """Members linked in pairs, and a record that goes from one to the others."""
+    """Linked members over which a record is flooded."""
 
-    def __init__(self, per_centre: int, centres: int = 2, regions: int = 2) -> None:
-        places = [
+    def __init__(
+        self, per_data_centre: int, data_centres: int = 2, regions: int = 2
+    ) -> None:
+        locations = [
             (region, f"{region}-{centre}")
             for region in REGIONS[:regions]
-            for centre in range(centres)
+            for centre in range(data_centres)
         ]
         self.peers = {
             f"{centre}-{index}": PeerIdentity(f"{centre}-{index}", 1, centre, region)
-            for region, centre in places
-            for index in range(per_centre)
+            for region, centre in locations
+            for index in range(per_data_centre)
         }
         self.links = {name: set(self.peers) - {name} for name in self.peers}
         self.frozen: set[str] = set()
         self.pushes: collections.Counter[str] = collections.Counter()
 
-    def thin_out(self, rng: random.Random, kept: int) -> None:
-        """Leave each member few links, a ring of all members among them."""
+    def reduce_links(self, rng: random.Random, kept: int) -> None:
+        """Reduce the links of each member to a ring and ``kept`` random peers."""
         names = sorted(self.peers)
         links: dict[str, set[str]] = {name: set() for name in names}
         for index, name in enumerate(names):
@@ -43,29 +45,29 @@
                     links[other].add(name)
         self.links = links
 
-    def lose(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove a member."""
         del self.peers[name], self.links[name]
         for links in self.links.values():
             links.discard(name)
 
-    def distance(self, name: str, other: str) -> str:
-        """Return which border lies between two members."""
+    def boundary(self, name: str, other: str) -> str:
+        """Return which boundary lies between two members."""
         one, two = self.peers[name], self.peers[other]
         if one.region != two.region:
             return "region"
         return "none" if one.data_centre == two.data_centre else "centre"
 
-    def spread(self, start: str) -> set[str]:
-        """Return the names of the members that got a record of ``start``."""
+    def flood(self, start: str) -> set[str]:
+        """Return the names of the members that receive a record of ``start``."""
         reached = {start}
         queue = collections.deque([(start, "")])
         while queue:
             name, source = queue.popleft()
-            heard = [self.peers[other] for other in sorted(self.links[name])]
+            reachable = [self.peers[other] for other in sorted(self.links[name])]
             flooding = Flooding(self.peers[name])
-            for target in sorted(flooding.targets(self.peers.get(source), heard)):
-                self.pushes[self.distance(name, target)] += 1
+            for target in sorted(flooding.targets(self.peers.get(source), reachable)):
+                self.pushes[self.boundary(name, target)] += 1
                 if target in reached or target in self.frozen:
                     continue
                 reached.add(target)
@@ -73,53 +75,53 @@
         return reached
 
 
-class RecordSpreadTest(unittest.TestCase):
-    def test_every_member_gets_each_record(self) -> None:
+class FloodingTest(unittest.TestCase):
+    def test_every_member_receives_each_record(self) -> None:
         for shape in ((1, 1, 1), (5, 1, 1), (4, 2, 2), (7, 1, 3), (3, 3, 2)):
             mesh = Mesh(*shape)
             for start in mesh.peers:
                 with self.subTest(shape=shape, start=start):
-                    self.assertEqual(mesh.spread(start), set(mesh.peers))
-
-    def test_record_crosses_borders_a_few_times_whatever_the_size(self) -> None:
-        crossings = CROSSINGS * (CROSSINGS + 1)
-        for per_centre in (2, 7, 24):
-            mesh = Mesh(per_centre)
-            mesh.spread(min(mesh.peers))
-            with self.subTest(per_centre=per_centre):
-                self.assertLessEqual(mesh.pushes["region"], crossings)
-                # Where it enters the other region, it goes on from each entry.
-                self.assertLessEqual(mesh.pushes["centre"], 3 * crossings)
-
-    def test_pushes_within_data_centres_grow_with_their_members(self) -> None:
+                    self.assertEqual(mesh.flood(start), set(mesh.peers))
+
+    def test_number_of_crossings_is_independent_of_the_size(self) -> None:
+        max_crossings = GATEWAYS_PER_SIDE * (GATEWAYS_PER_SIDE + 1)
+        for per_data_centre in (2, 7, 24):
+            mesh = Mesh(per_data_centre)
+            mesh.flood(min(mesh.peers))
+            with self.subTest(per_data_centre=per_data_centre):
+                self.assertLessEqual(mesh.pushes["region"], max_crossings)
+                # Each member that receives it in the other region forwards it there.
+                self.assertLessEqual(mesh.pushes["centre"], 3 * max_crossings)
+
+    def test_pushes_within_data_centres_are_at_most_eight_per_member(self) -> None:
         mesh = Mesh(16, 3, 2)
-        mesh.spread(min(mesh.peers))
+        mesh.flood(min(mesh.peers))
         self.assertLess(mesh.pushes["none"], 8 * len(mesh.peers))
 
-    def test_one_frozen_member_in_each_region_stops_nothing(self) -> None:
+    def test_record_reaches_all_despite_one_frozen_member_per_region(self) -> None:
         names = sorted(Mesh(4).peers)
         for frozen in itertools.combinations(names, 2):
             mesh = Mesh(4)
-            if mesh.distance(*frozen) != "region":
+            if mesh.boundary(*frozen) != "region":
                 continue
             mesh.frozen = set(frozen)
             for start in set(names) - mesh.frozen:
                 with self.subTest(frozen=frozen, start=start):
-                    self.assertEqual(mesh.spread(start), set(names) - mesh.frozen)
+                    self.assertEqual(mesh.flood(start), set(names) - mesh.frozen)
 
-    def test_data_centre_with_one_member_is_reached_and_heard(self) -> None:
+    def test_data_centre_with_one_member_sends_and_receives_records(self) -> None:
         mesh = Mesh(4)
         for index in range(1, 4):
-            mesh.lose(f"limon-1-{index}")
+            mesh.remove(f"limon-1-{index}")
         for start in mesh.peers:
-            self.assertEqual(mesh.spread(start), set(mesh.peers))
+            self.assertEqual(mesh.flood(start), set(mesh.peers))
 
-    def test_sparse_mesh_is_covered(self) -> None:
+    def test_record_reaches_all_members_of_a_sparse_mesh(self) -> None:
         for seed in range(5):
             mesh = Mesh(15, 3, 2)
-            mesh.thin_out(random.Random(seed), 7)
+            mesh.reduce_links(random.Random(seed), 7)
             with self.subTest(seed=seed):
-                missed = set(mesh.peers) - mesh.spread(min(mesh.peers))
+                missed = set(mesh.peers) - mesh.flood(min(mesh.peers))
                 self.assertEqual(missed, set())
 
 
--- a/tests/test_overlay/test_overlay.py
+++ b/tests/test_overlay/test_overlay.py
@@ -1,4 +1,4 @@
-"""Links that the overlay keeps and closes."""
+"""Selection of the links that the overlay keeps open or closes."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from marigoldchute.link.handlers import Handlers
 from marigoldchute.link.handshake import PeerIdentity
 from marigoldchute.overlay.overlay import (
-    RETIRE_UNUSED_S,
-    UNWANTED_CLOSE_S,
+    RETIRE_IDLE_S,
+    UNWANTED_IDLE_S,
     Overlay,
 )
 from marigoldchute.overlay.records import RecordTable
@@ -26,7 +26,7 @@
 
 
 class FakeLink:
-    """A link that this node opened."""
+    """Link that this node opened."""
 
     opened_here = True
     suspect = False
@@ -45,11 +45,11 @@
         self.closed.set()
 
     async def call(self, method: int, body: bytes, timeout_s: float) -> bytes:
-        raise PeerError("no reply")
+        raise PeerError("no response")
 
 
 class FakeEndpoint:
-    """Opens a link to whoever is dialled; the port tells the name."""
+    """Opens a link to each dialled peer, whose address is its name."""
 
     local = OWN
 
@@ -65,7 +65,7 @@
 
 
 class FakeDirectory:
-    """Wants links to some peers."""
+    """Directory that wants links to the given peers."""
 
     def __init__(self, *names: str) -> None:
         self.names = set(names)
@@ -87,7 +87,7 @@
 
 
 class UnwantedLinkTest(unittest.TestCase):
-    def test_a_link_that_carries_requests_is_not_closed(self) -> None:
+    def test_unwanted_link_is_closed_only_when_idle(self) -> None:
         endpoint: Any = FakeEndpoint()
         directory = FakeDirectory("vm-2", "vm-3")
 
@@ -98,9 +98,9 @@
                 await trio.sleep(2)
                 busy = endpoint.links["vm-3"]
                 directory.names = {"vm-2"}
-                await trio.sleep(4 * UNWANTED_CLOSE_S)
+                await trio.sleep(4 * UNWANTED_IDLE_S)
                 self.assertTrue(busy.alive)
-                busy.unused_s = UNWANTED_CLOSE_S + 1
+                busy.unused_s = UNWANTED_IDLE_S + 1
                 await trio.sleep(2)
                 self.assertFalse(busy.alive)
                 self.assertTrue(endpoint.links["vm-2"].alive)
@@ -109,16 +109,19 @@
         trio.run(main, clock=MockClock(autojump_threshold=0))
 
 
-class CrossedLinksTest(unittest.TestCase):
-    """Two nodes that start together open a link to each other at the same time."""
+class SimultaneousLinksTest(unittest.TestCase):
+    """Two nodes open a link to each other at the same time.
+
+    The link that is given up must stay open for requests that the peer already sent.
+    """
 
     def setUp(self) -> None:
         self.endpoint: Any = FakeEndpoint()
         self.accepted: Any = FakeLink("vm-2")
         self.accepted.opened_here = False
 
-    def play(self, accept: Callable[[Overlay], Awaitable[None]]) -> None:
-        """Let a node open a link to a peer, and then the peer open another."""
+    def run_overlay(self, accept: Callable[[Overlay], Awaitable[None]]) -> None:
+        """Open a link to a peer, then call ``accept`` to add a link of the peer."""
 
         async def main() -> None:
             overlay = Overlay(
@@ -132,29 +135,29 @@
 
         trio.run(main, clock=MockClock(autojump_threshold=0))
 
-    async def check_closed_when_unused(self, link: FakeLink) -> None:
-        """Check that a link is open, and closed once nothing has come for a time."""
+    async def check_closed_when_idle(self, link: FakeLink) -> None:
+        """Check that a link stays open until it has been idle for some time."""
         self.assertTrue(link.alive)
-        link.unused_s = RETIRE_UNUSED_S + 1
+        link.unused_s = RETIRE_IDLE_S + 1
         await trio.sleep(1)
         self.assertFalse(link.alive)
 
-    def test_the_link_given_up_serves_what_the_peer_has_sent_on_it(self) -> None:
+    def test_rejected_simultaneous_link_is_closed_only_when_idle(self) -> None:
         async def accept(overlay: Overlay) -> None:
             overlay.accept(self.accepted)
-            await trio.sleep(4 * RETIRE_UNUSED_S)
+            await trio.sleep(4 * RETIRE_IDLE_S)
             self.assertIs(overlay.link_to("vm-2"), self.endpoint.links["vm-2"])
-            await self.check_closed_when_unused(self.accepted)
+            await self.check_closed_when_idle(self.accepted)
 
-        self.play(accept)
+        self.run_overlay(accept)
 
-    def test_a_link_that_was_replaced_is_closed_once_nothing_comes_on_it(self) -> None:
+    def test_replaced_link_is_closed_only_when_idle(self) -> None:
         async def accept(overlay: Overlay) -> None:
             older = self.endpoint.links["vm-2"]
             older.age_s = 100.0
             overlay.accept(self.accepted)
-            await trio.sleep(RETIRE_UNUSED_S / 2)
+            await trio.sleep(RETIRE_IDLE_S / 2)
             self.assertIs(overlay.link_to("vm-2"), self.accepted)
-            await self.check_closed_when_unused(older)
+            await self.check_closed_when_idle(older)
 
-        self.play(accept)
+        self.run_overlay(accept)
--- a/tests/test_overlay/test_repair.py
+++ b/tests/test_overlay/test_repair.py
@@ -1,4 +1,4 @@
-"""Anti-entropy between two tables."""
+"""Anti-entropy between the record tables of two nodes."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 MEMBERS = 870
 
 
-def _record(key: str, rank: int, size: int = 300) -> Record:
+def _make_record(key: str, rank: int, size: int = 300) -> Record:
     return Record(RecordKind.MEMBER, key, (rank, 0), bytes(size))
 
 
-class _Side:
-    """One end of a repair."""
+class _Node:
+    """Record table and handlers of one node."""
 
     def __init__(self) -> None:
         self.table = RecordTable()
@@ -32,13 +32,13 @@
 
 
 class _Link:
-    """Calls the handlers of the other end and counts the bytes."""
+    """Link that calls the handlers of the other node and counts bytes."""
 
-    def __init__(self, target: _Side) -> None:
+    def __init__(self, target: _Node) -> None:
         self.peer = types.SimpleNamespace(name="other")
         self.bytes_sent = 0
         self.bytes_received = 0
-        self.largest = 0
+        self.largest_message = 0
         self._target = target
         self._notified: list[tuple[int, bytes]] = []
 
@@ -46,15 +46,15 @@
         handler = self._target.handlers.find(method)
         assert handler is not None
         link: Any = self
-        reply = await handler(link, body)
+        response = await handler(link, body)
         self.bytes_sent += len(body)
-        self.bytes_received += len(reply)
-        self.largest = max(self.largest, len(body), len(reply))
-        return reply
+        self.bytes_received += len(response)
+        self.largest_message = max(self.largest_message, len(body), len(response))
+        return response
 
     def notify(self, method: int, body: bytes) -> None:
         self.bytes_sent += len(body)
-        self.largest = max(self.largest, len(body))
+        self.largest_message = max(self.largest_message, len(body))
         self._notified.append((method, body))
 
     async def deliver(self) -> None:
@@ -65,12 +65,12 @@
             await handler(link, body)
 
 
-def _repair(ours: _Side, theirs: _Side) -> _Link:
+def _synchronize(ours: _Node, theirs: _Node) -> _Link:
     link = _Link(theirs)
     end: Any = link
 
     async def body() -> None:
-        await ours.repair.run_once(end)
+        await ours.repair.synchronize(end)
         await link.deliver()
 
     trio.run(body)
@@ -79,32 +79,32 @@
 
 class RepairTest(unittest.TestCase):
     def test_equal_tables_exchange_digests_only(self) -> None:
-        ours, theirs = _Side(), _Side()
+        ours, theirs = _Node(), _Node()
         for i in range(MEMBERS):
-            ours.table.offer(_record(str(i), 1))
-            theirs.table.offer(_record(str(i), 1))
-        link = _repair(ours, theirs)
+            ours.table.offer(_make_record(str(i), 1))
+            theirs.table.offer(_make_record(str(i), 1))
+        link = _synchronize(ours, theirs)
         self.assertLess(link.bytes_sent + link.bytes_received, 400)
 
-    def test_one_difference_costs_one_bucket_of_names_and_one_body(self) -> None:
-        ours, theirs = _Side(), _Side()
+    def test_one_difference_costs_one_bucket_of_identities_and_one_body(self) -> None:
+        ours, theirs = _Node(), _Node()
         for i in range(MEMBERS):
-            ours.table.offer(_record(str(i), 1))
-            theirs.table.offer(_record(str(i), 1 + (i == 5)))
-        link = _repair(ours, theirs)
+            ours.table.offer(_make_record(str(i), 1))
+            theirs.table.offer(_make_record(str(i), 1 + (i == 5)))
+        link = _synchronize(ours, theirs)
         self.assertEqual(ours.table.digests(), theirs.table.digests())
         self.assertLess(link.bytes_sent + link.bytes_received, 2000)
 
-    def test_joining_node_gets_everything_in_bounded_batches(self) -> None:
-        ours, theirs = _Side(), _Side()
+    def test_joining_node_receives_all_records_in_bounded_batches(self) -> None:
+        ours, theirs = _Node(), _Node()
         for i in range(MEMBERS):
-            theirs.table.offer(_record(str(i), 1))
-        link = _repair(ours, theirs)
+            theirs.table.offer(_make_record(str(i), 1))
+        link = _synchronize(ours, theirs)
         self.assertEqual(ours.table.digests(), theirs.table.digests())
-        self.assertLess(link.largest, 2 * MAX_BATCH_BYTES)
+        self.assertLess(link.largest_message, 2 * MAX_BATCH_BYTES)
 
-    def test_batches_are_bounded_and_whole(self) -> None:
-        records = [_record(str(i), 1, 10_000) for i in range(50)]
+    def test_batches_are_bounded_and_complete(self) -> None:
+        records = [_make_record(str(i), 1, 10_000) for i in range(50)]
         batches = list(split_batches(records))
         self.assertEqual([r for batch in batches for r in batch], records)
         self.assertGreater(len(batches), 1)
@@ -116,12 +116,12 @@
         st.lists(st.tuples(st.integers(0, 30), st.integers(1, 4)), max_size=40),
         st.integers(0, 1000),
     )
-    def test_tables_are_equal_after_one_repair(
+    def test_tables_are_equal_after_one_synchronization(
         self, updates: list[tuple[int, int]], seed: int
     ) -> None:
-        ours, theirs = _Side(), _Side()
+        ours, theirs = _Node(), _Node()
         rng = random.Random(seed)
         for key, rank in updates:
-            rng.choice((ours, theirs)).table.offer(_record(str(key), rank))
-        _repair(ours, theirs)
+            rng.choice((ours, theirs)).table.offer(_make_record(str(key), rank))
+        _synchronize(ours, theirs)
         self.assertEqual(ours.table.digests(), theirs.table.digests())
