--- a/marigoldchute/objectstore/api.py
+++ b/marigoldchute/objectstore/api.py
@@ -1,4 +1,4 @@
-"""Contract of the platform's object API."""
+"""Interface of the platform's object API."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class WatchEvent:
-    """A change seen by a watch; ``value`` is None when the object was deleted."""
+    """A change reported by a watch; ``value`` is None when the object was deleted."""
 
     key: str
     value: bytes | None
@@ -54,14 +54,14 @@
 
         ``CREATE_ONLY`` expects that the object does not exist. Raises
         ``ConflictError`` when the condition fails and ``UnknownOutcomeError``
-        when the reply was lost.
+        when the response was lost.
         """
 
     async def delete(self, key: str, expected_revision: int) -> None:
         """Delete if the object's revision is as expected."""
 
     def watch(self, prefix: str) -> AsyncIterator[WatchEvent]:
-        """Yield the present objects under a prefix, then every later change.
+        """Yield the current objects under a prefix, then every later change.
 
         Resumes after lost connections, relists after gaps and never ends.
         """
--- a/marigoldchute/objectstore/backoff.py
+++ b/marigoldchute/objectstore/backoff.py
@@ -14,7 +14,7 @@
     Parameters
     ----------
     min_s, max_s : float
-        First and greatest bound in seconds.
+        Initial and maximum bound in seconds.
     rng : random.Random
         Source of jitter.
     """
@@ -32,5 +32,5 @@
         return delay_s
 
     def reset(self) -> None:
-        """Start from the first bound again, after a success."""
+        """Return to the initial bound after a success."""
         self._bound_s = self._min_s
--- a/marigoldchute/objectstore/caller.py
+++ b/marigoldchute/objectstore/caller.py
@@ -1,4 +1,4 @@
-"""Calls to an object API over HTTP, within a budget, a deadline and a circuit."""
+"""Calls to an object API over HTTP with a budget, deadlines and a circuit breaker."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from marigoldchute.errors import PlatformError, ResultCode, UnknownOutcomeError
 from marigoldchute.objectstore.backoff import Backoff
 from marigoldchute.objectstore.budget import CallBudget
-from marigoldchute.objectstore.circuit import Circuit
+from marigoldchute.objectstore.circuit import CircuitBreaker
 from marigoldchute.objectstore.messages import raise_for_status
 
 if TYPE_CHECKING:
@@ -21,8 +21,8 @@
     from marigoldchute.objectstore.settings import StoreSettings
 
 MAX_CONNECTIONS = 8
-RETRY_MIN_S = 0.1
-RETRY_MAX_S = 2.0
+RETRY_MIN_DELAY_S = 0.1
+RETRY_MAX_DELAY_S = 2.0
 
 _T = TypeVar("_T")
 
@@ -33,7 +33,7 @@
         ResultCode.STORE_ANSWER_MALFORMED,
     }
 )
-_ANSWERED_CODES = frozenset(
+_STORE_RESPONDED_CODES = frozenset(
     {
         ResultCode.STORE_CONFLICT,
         ResultCode.STORE_NOT_FOUND,
@@ -45,11 +45,11 @@
 
 
 class StoreCaller:
-    """One node's calls to the platform's store, whatever protocol they speak.
+    """Sends the calls of one node to the platform's store, for any HTTP protocol.
 
-    Each call has a deadline and takes one token of the node's call budget. Calls that
-    certainly did not run, and all reads, are tried again with full jitter until the
-    deadline; a write whose outcome is not known is left to the caller.
+    Each call has a deadline and uses one token of the node's call budget. Calls that
+    are known not to have run, and all reads, are retried with full jitter until the
+    deadline; a write with an unknown outcome is left to the caller.
 
     Parameters
     ----------
@@ -58,7 +58,7 @@
     rng : random.Random
         Source of back-off jitter.
     local_address : str
-        IP number from which connections are opened; any when empty.
+        IP address from which connections are opened; any when empty.
     """
 
     def __init__(
@@ -70,13 +70,13 @@
             max_connections=MAX_CONNECTIONS, local_address=local_address or None
         )
         self._budget: CallBudget | None = None
-        self._circuit = Circuit(rng)
+        self._circuit = CircuitBreaker(rng)
         self.calls = 0
         self.fastest_s = float("inf")
 
     @property
     def is_reachable(self) -> bool:
-        """Whether recent calls were answered."""
+        """Whether recent calls got a response."""
         return not self._circuit.is_open
 
     async def call(
@@ -88,35 +88,35 @@
         wait_ms: int = 0,
         content_type: str = "",
     ) -> _T:
-        """Make a call and decode its answer.
+        """Make a call and decode its response.
 
         Parameters
         ----------
         decode : callable
-            Decodes the body of an answer to a method.
+            Decodes the body of a response to a method.
         method, path : str
             HTTP method and request target.
         body : bytes, optional
             Body of the call.
         wait_ms : int
-            Time that the store may hold the call back by itself.
+            Additional time for which the store may delay its response.
         content_type : str
-            Type of the body; not stated when empty.
+            Content type of the body; not sent when empty.
 
         Raises
         ------
         PlatformError
             The call failed or was refused.
         UnknownOutcomeError
-            The answer to a write was lost.
+            The response to a write was lost.
         """
         deadline = trio.current_time() + (self._settings.timeout_ms + wait_ms) / 1000
-        backoff = Backoff(RETRY_MIN_S, RETRY_MAX_S, self._rng)
+        backoff = Backoff(RETRY_MIN_DELAY_S, RETRY_MAX_DELAY_S, self._rng)
         headers = [("content-type", content_type)] if content_type else None
         while True:
             try:
-                answer = await self._try_call(method, path, body, headers, deadline)
-                return decode(answer, method=method)
+                content = await self._send_once(method, path, body, headers, deadline)
+                return decode(content, method=method)
             except PlatformError as exc:
                 delay_s = backoff.next_delay_s()
                 if exc.code not in _RETRIED_CODES:
@@ -125,7 +125,7 @@
                     raise
             await trio.sleep(delay_s)
 
-    async def _try_call(
+    async def _send_once(
         self,
         method: str,
         path: str,
@@ -133,17 +133,17 @@
         headers: list[tuple[str, str]] | None,
         deadline: float,
     ) -> bytes:
-        await self._take_budget(deadline)
+        await self._acquire_budget(deadline)
         url = f"http://{self._settings.address}:{self._settings.port}{path}"
-        with self._guard():
+        with self._track_outcome():
             self.calls += 1
-            started = trio.current_time()
+            started_at = trio.current_time()
             response = await self._send(method, url, body, headers, deadline)
-            self.fastest_s = min(self.fastest_s, trio.current_time() - started)
+            self.fastest_s = min(self.fastest_s, trio.current_time() - started_at)
             raise_for_status(method, path, response.status, response.content)
             return response.content
 
-    async def _take_budget(self, deadline: float) -> None:
+    async def _acquire_budget(self, deadline: float) -> None:
         now = trio.current_time()
         if self._budget is None:
             rate, burst = self._settings.calls_per_s, self._settings.burst_calls
@@ -157,20 +157,20 @@
         await trio.sleep(wait_s)
 
     @contextlib.contextmanager
-    def _guard(self) -> Iterator[None]:
-        self._circuit.enter(trio.current_time())
+    def _track_outcome(self) -> Iterator[None]:
+        self._circuit.admit(trio.current_time())
         try:
             yield
         except PlatformError as exc:
-            if exc.code in _ANSWERED_CODES:
-                self._circuit.succeed()
+            if exc.code in _STORE_RESPONDED_CODES:
+                self._circuit.record_success()
             else:
-                self._circuit.fail(trio.current_time())
+                self._circuit.record_failure(trio.current_time())
             raise
         except BaseException:
-            self._circuit.abandon()
+            self._circuit.record_cancelled()
             raise
-        self._circuit.succeed()
+        self._circuit.record_success()
 
     async def _send(
         self,
@@ -193,10 +193,10 @@
             httpcore.TimeoutException,
             trio.TooSlowError,
         ) as exc:
-            raise _lost_reply(method, exc) from exc
+            raise _lost_response_error(method, exc) from exc
 
 
-def _lost_reply(method: str, exc: Exception) -> PlatformError:
+def _lost_response_error(method: str, exc: Exception) -> PlatformError:
     if method == "GET":
-        return PlatformError(f"store did not answer: {exc!r}")
-    return UnknownOutcomeError(f"store's reply was lost: {exc!r}")
+        return PlatformError(f"store sent no response: {exc!r}")
+    return UnknownOutcomeError(f"response of the store was lost: {exc!r}")
--- a/marigoldchute/objectstore/client.py
+++ b/marigoldchute/objectstore/client.py
@@ -33,7 +33,7 @@
     rng : random.Random
         Source of back-off jitter.
     local_address : str
-        IP number from which connections are opened; any when empty.
+        IP address from which connections are opened; any when empty.
     """
 
     def __init__(
@@ -44,12 +44,12 @@
 
     @property
     def calls(self) -> int:
-        """Calls made since the start."""
+        """Number of calls since the start."""
         return self._caller.calls
 
     @property
     def is_reachable(self) -> bool:
-        """Whether recent calls were answered."""
+        """Whether recent calls got a response."""
         return self._caller.is_reachable
 
     async def get(self, key: str) -> StoredObject:
@@ -90,7 +90,7 @@
         return await self._caller.call(_DECODE_ITEMS, "GET", path, wait_ms=wait_ms)
 
     def watch(self, prefix: str) -> AsyncIterator[WatchEvent]:
-        """Yield the present objects under a prefix, then every later change."""
+        """Yield the current objects under a prefix, then every later change."""
         return Watch(self, prefix, self._rng).events()
 
 
--- a/marigoldchute/objectstore/conditional.py
+++ b/marigoldchute/objectstore/conditional.py
@@ -1,4 +1,4 @@
-"""Conditional writes whose lost replies are resolved by reading back."""
+"""Conditional writes that resolve a lost response by reading the object back."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
     from marigoldchute.objectstore.api import ObjectStore
 
-CREATE_ATTEMPTS = 5
-RETRY_PAUSE_S = 0.1
+MAX_CREATE_ATTEMPTS = 5
+RETRY_DELAY_STEP_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True)
@@ -33,7 +33,7 @@
     value : bytes
         Value that the object holds.
     is_mine : bool
-        Whether this writer's value stands.
+        Whether this writer's value was stored.
     """
 
     value: bytes
@@ -43,11 +43,12 @@
 async def create_once(
     store: ObjectStore, key: str, value: bytes, is_mine: Callable[[bytes], bool]
 ) -> Creation:
-    """Create an object unless it exists; say whose value stands.
+    """Create an object unless it exists, and return the value that is stored.
 
-    A write whose reply was lost may have taken effect, may do so later, or never. The
-    object is read back, and created again while it is not there: a late first write
-    then meets its own value under the condition and changes nothing.
+    A write whose response was lost may have taken effect, may do so later, or never.
+    The object is read back, and created again while it does not exist. A first write
+    that arrives after that finds the object with the same value: it fails its condition
+    and changes nothing.
 
     Parameters
     ----------
@@ -58,39 +59,44 @@
     value : bytes
         Value with a token that no other writer uses.
     is_mine : callable
-        Whether a value that stands carries this writer's token.
+        Returns whether a stored value carries this writer's token.
 
     Returns
     -------
     Creation
-        The value that stands.
+        The value that is stored.
 
     Raises
     ------
     UnknownOutcomeError
-        It is not known which value stands.
+        It is unknown which value is stored.
     PlatformError
         The store refused the call before it took effect.
     """
-    lost_reply = False
-    for attempt in range(CREATE_ATTEMPTS):
-        await trio.sleep(RETRY_PAUSE_S * attempt)
+    response_lost = False
+    for attempt in range(MAX_CREATE_ATTEMPTS):
+        await trio.sleep(RETRY_DELAY_STEP_S * attempt)
         try:
             await store.put(key, value, CREATE_ONLY)
             return Creation(value, True)
         except UnknownOutcomeError:
-            lost_reply = True
+            response_lost = True
         except ConflictError:
             pass
         except PlatformError as exc:
-            if lost_reply:
-                raise UnknownOutcomeError(f"outcome of {key} not known: {exc}") from exc
+            if response_lost:
+                raise UnknownOutcomeError(
+                    f"outcome of writing {key} is unknown: {exc}"
+                ) from exc
             raise
         try:
-            standing = (await store.get(key)).value
+            stored = (await store.get(key)).value
         except NotFoundError:
-            continue  # the write is not there yet, or the answer is from the past
+            # The write has not taken effect yet, or the store returned a stale state.
+            continue
         except PlatformError as exc:
-            raise UnknownOutcomeError(f"outcome of {key} not known: {exc}") from exc
-        return Creation(standing, is_mine(standing))
-    raise UnknownOutcomeError(f"outcome of {key} is not known")
+            raise UnknownOutcomeError(
+                f"outcome of writing {key} is unknown: {exc}"
+            ) from exc
+        return Creation(stored, is_mine(stored))
+    raise UnknownOutcomeError(f"outcome of writing {key} is unknown")
--- a/marigoldchute/objectstore/documents.py
+++ b/marigoldchute/objectstore/documents.py
@@ -1,4 +1,4 @@
-"""Contract of a store of documents, each with a content and a status."""
+"""Interface of a store of documents, each with a content and a status."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     Parameters
     ----------
     kind, name : str
-        What it is and which.
+        Kind and name of the document.
     revision : int
         Store-wide revision of its last change.
     content : Any
@@ -21,7 +21,7 @@
     status : Any
         Decoded status, None while there is none.
     deleted : bool
-        Whether the document is gone; only in changes.
+        Whether the document was deleted; set in changes only.
     """
 
     kind: str
@@ -41,7 +41,7 @@
     documents : tuple of Document
         In the order of the store.
     revision : int
-        Revision from which a watch goes on.
+        Revision from which a watch continues.
     """
 
     documents: tuple[Document, ...]
@@ -53,15 +53,15 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether recent calls were answered."""
+        """Whether recent calls got a response."""
 
     @property
     def fastest_s(self) -> float:
-        """Shortest time in seconds in which a call was answered."""
+        """Shortest time from a call to its response in seconds."""
 
     @property
     def calls(self) -> int:
-        """Calls made since the start."""
+        """Number of calls since the start."""
 
     async def list(self, kind: str, stale_allowed: bool = False) -> DocumentPage:
         """Return every document of a kind.
@@ -71,7 +71,7 @@
         kind : str
             Kind to list.
         stale_allowed : bool
-            Whether an answer that is seconds old will do; it is cheaper.
+            Whether a list that is seconds old is acceptable; it is cheaper.
         """
 
     async def get(self, kind: str, name: str) -> Document:
@@ -82,7 +82,7 @@
     ) -> DocumentPage:
         """Wait for changes of a kind after a revision.
 
-        Raises ``CompactedError`` when the store no longer knows them all.
+        Raises ``CompactedError`` when the store no longer holds all of them.
         """
 
     async def create(self, kind: str, name: str, content: Any) -> Document:
@@ -99,8 +99,8 @@
         """Replace a document's status if its revision is as expected.
 
         Raises ``ConflictError`` when the condition fails and ``UnknownOutcomeError``
-        when the reply was lost.
+        when the response was lost.
         """
 
     async def delete(self, kind: str, name: str) -> None:
-        """Delete a document; one that does not exist is no error."""
+        """Delete a document; succeeds also when it does not exist."""
--- a/marigoldchute/objectstore/messages.py
+++ b/marigoldchute/objectstore/messages.py
@@ -1,4 +1,4 @@
-"""Answers of the object API, JSON over HTTP (docs/STORE-PROTOCOL.md)."""
+"""Responses of the object API, JSON over HTTP (docs/STORE-PROTOCOL.md)."""
 
 from __future__ import annotations
 
@@ -30,46 +30,48 @@
     revision: int
 
     def to_object(self) -> StoredObject:
-        """Return the object, whose value must be there."""
+        """Return the item as an object; it must have a value."""
         if self.value is None:
-            raise _malformed(f"{self.key} has no value")
+            raise _malformed_error(f"{self.key} has no value")
         return StoredObject(self.key, _decode_value(self.value), self.revision)
 
     def to_event(self) -> WatchEvent:
-        """Return the change."""
+        """Return the item as a change."""
         value = None if self.value is None else _decode_value(self.value)
         return WatchEvent(self.key, value, self.revision)
 
 
 class Items(msgspec.Struct, frozen=True):
-    """Objects or changes, and the store's revision that they are complete up to."""
+    """Objects or changes, complete up to a revision of the store."""
 
     items: list[Item]
     revision: int
 
 
 class Written(msgspec.Struct, frozen=True):
-    """Revision of a write."""
+    """Revision that a write produced."""
 
     revision: int
 
 
 def decode_answer(body: bytes, cls: type[_T], method: str) -> _T:
-    """Decode an answer.
+    """Decode a response.
 
     Raises
     ------
     UnknownOutcomeError
-        The answer to a write is malformed or cut, so its outcome is not known.
+        The response to a write is malformed or truncated: the outcome is unknown.
     PlatformError
-        The answer to a read is malformed or cut.
+        The response to a read is malformed or truncated.
     """
     try:
         return msgspec.json.decode(body, type=cls)
     except msgspec.DecodeError as exc:
         if method != "GET":
-            raise UnknownOutcomeError(f"store's answer is malformed: {exc}") from exc
-        raise _malformed(str(exc)) from exc
+            raise UnknownOutcomeError(
+                f"response of the store is malformed: {exc}"
+            ) from exc
+        raise _malformed_error(str(exc)) from exc
 
 
 def raise_for_status(method: str, path: str, status: int, content: bytes) -> None:
@@ -78,28 +80,31 @@
         return
     detail = content.decode(errors="replace")[:200]
     if status == 404:
-        raise NotFoundError(f"{path} is not there")
+        raise NotFoundError(f"{path} does not exist")
     if status == 409:
         raise ConflictError(f"{path} has changed: {detail}")
     if status == 410:
-        raise CompactedError(f"{path} reaches further back than the store's log")
+        raise CompactedError(
+            f"{path} starts before the oldest entry of the store's log"
+        )
     if status == 413:
         raise PlatformError(f"{path}: {detail}", ResultCode.STORE_VALUE_TOO_LARGE)
     if status == 429:
         raise PlatformError("store refused the call", ResultCode.STORE_THROTTLED)
     if method != "GET" and status not in _REFUSED_BEFORE_RUNNING:
-        raise UnknownOutcomeError(f"store answered {status} to a write: {detail}")
-    raise PlatformError(f"store answered {status}: {detail}")
+        raise UnknownOutcomeError(f"store returned {status} to a write: {detail}")
+    raise PlatformError(f"store returned {status}: {detail}")
 
 
 def _decode_value(value: str) -> bytes:
     try:
         return base64.b64decode(value, validate=True)
     except binascii.Error as exc:
-        raise _malformed(f"value is not base64: {exc}") from exc
+        raise _malformed_error(f"value is not base64: {exc}") from exc
 
 
-def _malformed(detail: str) -> PlatformError:
+def _malformed_error(detail: str) -> PlatformError:
     return PlatformError(
-        f"store's answer is malformed: {detail}", ResultCode.STORE_ANSWER_MALFORMED
+        f"response of the store is malformed: {detail}",
+        ResultCode.STORE_ANSWER_MALFORMED,
     )
--- a/marigoldchute/objectstore/settings.py
+++ b/marigoldchute/objectstore/settings.py
@@ -20,13 +20,13 @@
     Parameters
     ----------
     address : str
-        IP number of the object API.
+        IP address of the object API.
     port : int
         TCP port of the object API.
     calls_per_s : float
-        Greatest sustained rate of calls from this node.
+        Maximum sustained rate of calls from this node.
     burst_calls : float
-        Calls that this node may make at once after a quiet time.
+        Calls that this node may make at once after an idle period.
     timeout_ms : int
         Time limit of one call.
     """
--- a/marigoldchute/objectstore/watch.py
+++ b/marigoldchute/objectstore/watch.py
@@ -23,7 +23,7 @@
 
 
 class ChangeSource(Protocol):
-    """Single calls out of which a watch is made."""
+    """Calls that a watch is built from."""
 
     async def list_items(self, prefix: str) -> Items:
         """Return the objects under a prefix and the revision of the list."""
@@ -31,17 +31,17 @@
     async def changes(self, prefix: str, after_revision: int, wait_ms: int) -> Items:
         """Wait for changes under a prefix after a revision.
 
-        Raises ``CompactedError`` when the store no longer knows them all.
+        Raises ``CompactedError`` when the store no longer holds all of them.
         """
 
 
 class Watch:
-    """The position of one watch in the store's log.
+    """A watch on the objects under a prefix and its position in the store's log.
 
-    A revision that goes backwards is an answer from the past. It is a gap like a
-    compacted log: the objects are listed again, at most once each
-    ``RELIST_INTERVAL_S``, and the watch goes on from that list. Stale lists repeat
-    what was seen and report no deletions.
+    A revision lower than an earlier one means that the store returned a stale state.
+    This is handled as a gap, like a compacted log: the objects are listed again, at
+    most once per ``RELIST_INTERVAL_S``, and the watch continues from that list. A stale
+    list repeats objects that were reported before and reports no deletions.
     """
 
     def __init__(self, source: ChangeSource, prefix: str, rng: random.Random) -> None:
@@ -50,13 +50,13 @@
         self._rng = rng
         self._backoff = Backoff(BACKOFF_MIN_S, BACKOFF_MAX_S, rng)
         self._position: int | None = None
-        self._highest = 0
+        self._highest_revision = 0
         self._keys: set[str] = set()
         self._relist_at = 0.0
-        self.gaps = 0
+        self.gap_count = 0
 
     async def events(self) -> AsyncIterator[WatchEvent]:
-        """Yield the present objects, then every later change; never ends."""
+        """Yield the current objects, then every later change; never ends."""
         while True:
             for event in await self._next_batch():
                 yield event
@@ -66,7 +66,7 @@
             if self._position is None:
                 batch = await self._relist()
             else:
-                batch = await self._follow(self._position)
+                batch = await self._fetch_changes(self._position)
         except PlatformError:
             await trio.sleep(self._backoff.next_delay_s())
             return []
@@ -79,25 +79,25 @@
         self._relist_at = trio.current_time() + RELIST_INTERVAL_S * jitter
         items = await self._source.list_items(self._prefix)
         events = [item.to_event() for item in items.items]
-        listed = {event.key for event in events}
-        if items.revision >= self._highest:
-            vanished = sorted(self._keys - listed)
-            events += [WatchEvent(key, None, items.revision) for key in vanished]
-            self._keys = listed
+        listed_keys = {event.key for event in events}
+        if items.revision >= self._highest_revision:
+            deleted_keys = sorted(self._keys - listed_keys)
+            events += [WatchEvent(key, None, items.revision) for key in deleted_keys]
+            self._keys = listed_keys
         else:
-            self._keys |= listed
-        self._highest = max(self._highest, items.revision)
+            self._keys |= listed_keys
+        self._highest_revision = max(self._highest_revision, items.revision)
         self._position = items.revision
         return events
 
-    async def _follow(self, position: int) -> list[WatchEvent]:
+    async def _fetch_changes(self, position: int) -> list[WatchEvent]:
         try:
             items = await self._source.changes(self._prefix, position, WATCH_WAIT_MS)
         except CompactedError:
-            self._note_gap()
+            self._handle_gap()
             return []
         if items.revision < position:
-            self._note_gap()
+            self._handle_gap()
             return []
         events = [item.to_event() for item in items.items]
         for event in events:
@@ -105,10 +105,10 @@
                 self._keys.discard(event.key)
             else:
                 self._keys.add(event.key)
-        self._highest = max(self._highest, items.revision)
+        self._highest_revision = max(self._highest_revision, items.revision)
         self._position = items.revision
         return events
 
-    def _note_gap(self) -> None:
-        self.gaps += 1
+    def _handle_gap(self) -> None:
+        self.gap_count += 1
         self._position = None
--- a/tests/support/fake_store.py
+++ b/tests/support/fake_store.py
@@ -1,4 +1,4 @@
-"""An object store in memory with scripted failures."""
+"""In-memory object store with scripted failures."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class FakeStore:
-    """Applies writes unless the next scripted step raises first.
+    """Object store that applies a write unless the next scripted step raises.
 
-    Steps run before a put, each once and in order; a step may write by itself.
+    Each step runs once before a put, in the given order; a step may write to the store.
     """
 
     def __init__(self, *steps: Step) -> None:
         self.objects: dict[str, StoredObject] = {}
         self.steps = list(steps)
-        self.hidden_reads = 0
+        self.stale_reads = 0
         self._revision = 0
 
     def write(self, key: str, value: bytes) -> int:
@@ -28,8 +28,8 @@
         return self._revision
 
     async def get(self, key: str) -> StoredObject:
-        if self.hidden_reads > 0:
-            self.hidden_reads -= 1
+        if self.stale_reads > 0:
+            self.stale_reads -= 1
             raise NotFoundError(key)
         if key not in self.objects:
             raise NotFoundError(key)
@@ -38,13 +38,13 @@
     async def put(self, key: str, value: bytes, expected_revision: int) -> int:
         if self.steps:
             self.steps.pop(0)(self, key, value)
-        held = self.objects.get(key)
-        if (held.revision if held else 0) != expected_revision:
+        current = self.objects.get(key)
+        if (current.revision if current else 0) != expected_revision:
             raise ConflictError(key)
         return self.write(key, value)
 
     async def delete(self, key: str, expected_revision: int) -> None:
-        held = self.objects.get(key)
-        if (held.revision if held else 0) != expected_revision:
+        current = self.objects.get(key)
+        if (current.revision if current else 0) != expected_revision:
             raise ConflictError(key)
         self.objects.pop(key, None)
--- a/tests/support/stores.py
+++ b/tests/support/stores.py
@@ -1,4 +1,4 @@
-"""A store stand-in served inside the test's own process."""
+"""Store stand-in that is served inside the test process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 async def served_store(
     timeout_ms: int = 1000, calls_per_s: float = 1000.0, burst_calls: float = 1000.0
 ) -> AsyncIterator[tuple[Store, HttpObjectStore]]:
-    """Serve a store; yield it with a client."""
+    """Serve a store stand-in; yield the store and a client of it."""
     block = LoopbackBlock()
     address = f"127.{block.number}.200.1"
     settings = StoreSettings(address, STORE_PORT, calls_per_s, burst_calls, timeout_ms)
--- a/tests/test_objectstore/test_client.py
+++ b/tests/test_objectstore/test_client.py
@@ -1,4 +1,4 @@
-"""The client against the store stand-in with its faults."""
+"""HTTP client of the object API against the store stand-in and its faults."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class ClientTest(_StoreTestCase):
-    def test_conditional_writes(self) -> None:
+    def test_write_with_another_revision_conflicts(self) -> None:
         async def body(store: Store, client: HttpObjectStore) -> None:
             with self.assertRaises(NotFoundError):
                 await client.get("a b/ü?")
@@ -55,19 +55,19 @@
 
         self.run_with(body)
 
-    def test_lost_reply_is_resolved_by_reading_back(self) -> None:
+    def test_lost_response_is_resolved_by_reading_back(self) -> None:
         async def body(store: Store, client: HttpObjectStore) -> None:
             for name in ("lose_replies", "lose_requests"):
                 store.set_faults(StoreFaults(**{name: 1}))
                 with self.assertRaises(UnknownOutcomeError):
                     await client.put(f"plain/{name}", b"1", CREATE_ONLY)
                 store.set_faults(StoreFaults(**{name: 2}))
-                done = await create_once(client, name, b"me", lambda v: v == b"me")
-                self.assertEqual(done, Creation(b"me", True))
+                creation = await create_once(client, name, b"me", lambda v: v == b"me")
+                self.assertEqual(creation, Creation(b"me", True))
 
         self.run_with(body)
 
-    def test_spent_budget_is_refused_with_its_code(self) -> None:
+    def test_call_beyond_the_budget_is_refused_with_its_code(self) -> None:
         async def body(store: Store, client: HttpObjectStore) -> None:
             for _ in range(3):
                 await client.list("")
@@ -76,7 +76,7 @@
 
         self.run_with(body, calls_per_s=0.1, burst_calls=3.0)
 
-    def test_store_that_is_down_is_called_less_and_less(self) -> None:
+    def test_store_that_is_down_opens_the_circuit(self) -> None:
         async def body(store: Store, client: HttpObjectStore) -> None:
             store.set_faults(StoreFaults(down=True))
             codes = set()
@@ -99,7 +99,7 @@
 
         self.run_with(body, timeout_ms=300)
 
-    def test_slow_store_ends_in_time(self) -> None:
+    def test_call_to_a_slow_store_times_out(self) -> None:
         async def body(store: Store, client: HttpObjectStore) -> None:
             store.set_faults(StoreFaults(delay_ms=5000))
             with trio.fail_after(1.5):
@@ -109,7 +109,7 @@
 
         self.run_with(body, timeout_ms=300)
 
-    def test_cut_answer_is_read_again(self) -> None:
+    def test_truncated_response_is_retried(self) -> None:
         async def body(store: Store, client: HttpObjectStore) -> None:
             await client.put("a", b"1", CREATE_ONLY)
             store.set_faults(StoreFaults(cut_answers=1))
@@ -132,7 +132,7 @@
 
 
 class WatchOverHttpTest(_StoreTestCase):
-    def test_compaction_while_away_is_relisted(self) -> None:
+    def test_compacted_log_is_relisted(self) -> None:
         async def body(store: Store, client: HttpObjectStore) -> None:
             await client.put("a/1", b"1", CREATE_ONLY)
             await client.put("a/2", b"2", CREATE_ONLY)
@@ -150,7 +150,7 @@
 
         self.run_with(body)
 
-    def test_store_in_the_past_reports_no_deletion_and_is_left_behind(self) -> None:
+    def test_stale_store_reports_no_deletion_and_the_watch_continues(self) -> None:
         async def body(store: Store, client: HttpObjectStore) -> None:
             for number in range(3):
                 await client.put(f"a/{number}", b"1", CREATE_ONLY)
--- a/tests/test_objectstore/test_conditional.py
+++ b/tests/test_objectstore/test_conditional.py
@@ -1,4 +1,4 @@
-"""Creates whose replies are lost, late or crossed."""
+"""Conditional creates with lost responses, stale reads and other writers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 def _lost_after_write(store: FakeStore, key: str, value: bytes) -> None:
     store.write(key, value)
-    raise UnknownOutcomeError("reply lost")
+    raise UnknownOutcomeError("response lost")
 
 
 def _lost_before_write(store: FakeStore, key: str, value: bytes) -> None:
@@ -26,7 +26,7 @@
     raise PlatformError("down")
 
 
-def _other_writes(store: FakeStore, key: str, value: bytes) -> None:
+def _written_by_another(store: FakeStore, key: str, value: bytes) -> None:
     store.write(key, b"theirs")
 
 
@@ -38,29 +38,31 @@
 
 
 class CreateOnceTest(unittest.TestCase):
-    def test_plain_create(self) -> None:
+    def test_create_without_faults_returns_the_own_value(self) -> None:
         self.assertEqual(_create(FakeStore()), Creation(b"mine", True))
 
-    def test_reply_lost_after_the_write(self) -> None:
+    def test_response_lost_after_the_write_returns_the_own_value(self) -> None:
         store = FakeStore(_lost_after_write)
         self.assertEqual(_create(store), Creation(b"mine", True))
         self.assertEqual(store.objects[KEY].revision, 1)
 
-    def test_request_lost_before_the_write_is_sent_again(self) -> None:
+    def test_request_lost_before_the_write_is_retried(self) -> None:
         store = FakeStore(_lost_before_write)
         self.assertEqual(_create(store), Creation(b"mine", True))
         self.assertEqual(store.objects[KEY].value, b"mine")
 
-    def test_other_writer_wins(self) -> None:
-        self.assertEqual(_create(FakeStore(_other_writes)), Creation(b"theirs", False))
+    def test_value_of_an_earlier_writer_is_returned(self) -> None:
+        self.assertEqual(
+            _create(FakeStore(_written_by_another)), Creation(b"theirs", False)
+        )
 
-    def test_other_writer_wins_after_a_lost_request(self) -> None:
-        store = FakeStore(_lost_before_write, _other_writes)
+    def test_value_of_another_writer_is_returned_after_a_lost_request(self) -> None:
+        store = FakeStore(_lost_before_write, _written_by_another)
         self.assertEqual(_create(store), Creation(b"theirs", False))
 
-    def test_answer_from_the_past_is_read_again(self) -> None:
+    def test_stale_read_is_retried(self) -> None:
         store = FakeStore(_lost_after_write)
-        store.hidden_reads = 2
+        store.stale_reads = 2
         self.assertEqual(_create(store), Creation(b"mine", True))
 
     def test_refusal_is_not_an_unknown_outcome(self) -> None:
@@ -68,13 +70,13 @@
             _create(FakeStore(_refused))
         self.assertNotIsInstance(caught.exception, UnknownOutcomeError)
 
-    def test_refusal_after_a_lost_reply_stays_unknown(self) -> None:
+    def test_refusal_after_a_lost_response_is_an_unknown_outcome(self) -> None:
         store = FakeStore(_lost_before_write, _refused)
         with self.assertRaises(UnknownOutcomeError):
             _create(store)
 
-    def test_store_that_hides_the_object_for_long_leaves_it_unknown(self) -> None:
+    def test_persistently_stale_reads_are_an_unknown_outcome(self) -> None:
         store = FakeStore(_lost_after_write)
-        store.hidden_reads = 100
+        store.stale_reads = 100
         with self.assertRaises(UnknownOutcomeError):
             _create(store)
--- a/tests/test_objectstore/test_limits.py
+++ b/tests/test_objectstore/test_limits.py
@@ -1,4 +1,4 @@
-"""Call budget, back-off and circuit."""
+"""Call budget, back-off and circuit breaker."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 from marigoldchute.errors import PlatformError, ResultCode
 from marigoldchute.objectstore.backoff import Backoff
 from marigoldchute.objectstore.budget import CallBudget
-from marigoldchute.objectstore.circuit import FAILURES_TO_OPEN, OPEN_MAX_S, Circuit
+from marigoldchute.objectstore.circuit import (
+    FAILURE_THRESHOLD,
+    MAX_OPEN_S,
+    CircuitBreaker,
+)
 
 
 class CallBudgetTest(unittest.TestCase):
@@ -38,7 +42,7 @@
                 allowed = burst + rate * (starts[last] - start) + 1e-6
                 self.assertLessEqual(last - first + 1, allowed)
 
-    def test_refusal_reserves_nothing(self) -> None:
+    def test_refused_call_reserves_nothing(self) -> None:
         budget = CallBudget(1.0, 1.0, 0.0)
         self.assertEqual(budget.reserve(0.0, 0.0), 0.0)
         for _ in range(10):
@@ -55,54 +59,54 @@
         backoff.reset()
         self.assertLessEqual(backoff.next_delay_s(), 0.1)
 
-    def test_clients_do_not_return_together(self) -> None:
+    def test_delays_of_clients_are_spread(self) -> None:
         delays = [Backoff(1.0, 1.0, random.Random(s)).next_delay_s() for s in range(50)]
         self.assertLess(min(delays), 0.2)
         self.assertGreater(max(delays), 0.8)
 
 
-class CircuitTest(unittest.TestCase):
-    def opened(self) -> Circuit:
-        circuit = Circuit(random.Random(1))
-        for _ in range(FAILURES_TO_OPEN):
-            circuit.enter(0.0)
-            circuit.fail(0.0)
+class CircuitBreakerTest(unittest.TestCase):
+    def open_circuit(self) -> CircuitBreaker:
+        circuit = CircuitBreaker(random.Random(1))
+        for _ in range(FAILURE_THRESHOLD):
+            circuit.admit(0.0)
+            circuit.record_failure(0.0)
         return circuit
 
-    def test_opens_after_failures_in_a_row_only(self) -> None:
-        circuit = Circuit(random.Random(1))
+    def test_opens_only_after_consecutive_failures(self) -> None:
+        circuit = CircuitBreaker(random.Random(1))
         for _ in range(10):
-            for _ in range(FAILURES_TO_OPEN - 1):
-                circuit.enter(0.0)
-                circuit.fail(0.0)
-            circuit.succeed()
+            for _ in range(FAILURE_THRESHOLD - 1):
+                circuit.admit(0.0)
+                circuit.record_failure(0.0)
+            circuit.record_success()
         self.assertFalse(circuit.is_open)
 
     def test_refuses_with_its_code_while_open(self) -> None:
-        circuit = self.opened()
+        circuit = self.open_circuit()
         with self.assertRaises(PlatformError) as caught:
-            circuit.enter(0.1)
+            circuit.admit(0.1)
         self.assertEqual(caught.exception.code, ResultCode.STORE_CIRCUIT_OPEN)
 
-    def test_one_trial_call_passes_and_closes_it(self) -> None:
-        circuit = self.opened()
-        circuit.enter(1.0)
+    def test_successful_trial_call_closes_the_circuit(self) -> None:
+        circuit = self.open_circuit()
+        circuit.admit(1.0)
         with self.assertRaises(PlatformError):
-            circuit.enter(1.0)
-        circuit.succeed()
-        circuit.enter(1.0)
-
-    def test_abandoned_trial_call_lets_the_next_one_pass(self) -> None:
-        circuit = self.opened()
-        circuit.enter(1.0)
-        circuit.abandon()
-        circuit.enter(1.0)
-
-    def test_is_tried_again_within_a_bounded_time_however_long_it_failed(self) -> None:
-        circuit = self.opened()
+            circuit.admit(1.0)
+        circuit.record_success()
+        circuit.admit(1.0)
+
+    def test_cancelled_trial_call_admits_the_next_one(self) -> None:
+        circuit = self.open_circuit()
+        circuit.admit(1.0)
+        circuit.record_cancelled()
+        circuit.admit(1.0)
+
+    def test_open_time_is_bounded_after_many_failures(self) -> None:
+        circuit = self.open_circuit()
         now = 0.0
         for _ in range(50):
-            now += OPEN_MAX_S
-            circuit.enter(now)
-            circuit.fail(now)
-        circuit.enter(now + OPEN_MAX_S)
+            now += MAX_OPEN_S
+            circuit.admit(now)
+            circuit.record_failure(now)
+        circuit.admit(now + MAX_OPEN_S)
--- a/tests/test_objectstore/test_watch.py
+++ b/tests/test_objectstore/test_watch.py
@@ -1,4 +1,4 @@
-"""Watches over every order of faults, on a clock of the test's own."""
+"""Watches under random sequences of faults, on a mock clock."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 ACTIONS = st.sampled_from(["write", "delete", "fail", "compact", "past", "present"])
 
 
-class _Source:
-    """A log of writes whose reads may fail, be compacted or come from the past."""
+class _FaultySource:
+    """A log of writes whose reads may fail, be compacted or return a stale state."""
 
     def __init__(self) -> None:
         self.log: list[Item] = []
         self.compacted = 0
-        self.visible: int | None = None
+        self.visible_count: int | None = None
         self.failures = 0
         self.list_times: list[float] = []
 
-    def _seen(self) -> list[Item]:
-        end = len(self.log) if self.visible is None else self.visible
+    def _visible_log(self) -> list[Item]:
+        end = len(self.log) if self.visible_count is None else self.visible_count
         return self.log[:end]
 
     def state(self) -> dict[str, str]:
-        held: dict[str, str] = {}
-        for item in self._seen():
+        current: dict[str, str] = {}
+        for item in self._visible_log():
             if item.value is None:
-                held.pop(item.key, None)
+                current.pop(item.key, None)
             else:
-                held[item.key] = item.value
-        return held
+                current[item.key] = item.value
+        return current
 
     def _maybe_fail(self) -> None:
         if self.failures > 0:
@@ -49,21 +49,21 @@
     async def list_items(self, prefix: str) -> Items:
         self.list_times.append(trio.current_time())
         self._maybe_fail()
-        seen = self._seen()
-        items = [Item(k, v, len(seen)) for k, v in self.state().items()]
-        return Items(items, len(seen))
+        visible_log = self._visible_log()
+        items = [Item(k, v, len(visible_log)) for k, v in self.state().items()]
+        return Items(items, len(visible_log))
 
     async def changes(self, prefix: str, after_revision: int, wait_ms: int) -> Items:
         self._maybe_fail()
-        seen = self._seen()
-        if after_revision < self.compacted and len(seen) >= self.compacted:
+        visible_log = self._visible_log()
+        if after_revision < self.compacted and len(visible_log) >= self.compacted:
             raise CompactedError("compacted")
-        changed = seen[after_revision:]
+        changed = visible_log[after_revision:]
         if not changed:
             await trio.sleep(wait_ms / 1000)
-        return Items(changed, len(seen))
+        return Items(changed, len(visible_log))
 
-    def act(self, action: str, rng: random.Random) -> None:
+    def apply(self, action: str, rng: random.Random) -> None:
         if action in ("write", "delete"):
             value = "dg==" if action == "write" else None
             key = f"k/{rng.randrange(4)}"
@@ -73,41 +73,41 @@
         elif action == "compact":
             self.compacted = len(self.log)
         elif action == "past":
-            self.visible = rng.randrange(len(self.log) + 1)
+            self.visible_count = rng.randrange(len(self.log) + 1)
         else:
-            self.visible = None
+            self.visible_count = None
 
 
 class WatchTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=80, deadline=None)
     @given(st.lists(ACTIONS, max_size=30), st.integers(0, 1000))
-    def test_watcher_ends_with_the_state_of_the_store(
+    def test_watch_converges_to_the_state_of_the_store(
         self, actions: list[str], seed: int
     ) -> None:
         rng = random.Random(seed)
-        source = _Source()
-        held: dict[str, int] = {}
+        source = _FaultySource()
+        current: dict[str, int] = {}
 
-        async def follow() -> None:
+        async def follow_events() -> None:
             async for event in Watch(source, "k/", rng).events():
                 if event.value is None:
-                    held.pop(event.key, None)
+                    current.pop(event.key, None)
                 else:
-                    held[event.key] = event.revision
+                    current[event.key] = event.revision
 
         async def run() -> None:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(follow)
+                nursery.start_soon(follow_events)
                 for action in actions:
-                    source.act(action, rng)
+                    source.apply(action, rng)
                     await trio.sleep(rng.uniform(0.0, 3.0))
-                source.act("present", rng)
+                source.apply("present", rng)
                 source.log.append(Item("k/end", "dg==", len(source.log) + 1))
                 await trio.sleep(60)
                 nursery.cancel_scope.cancel()
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-        self.assertEqual(set(held), set(source.state()))
+        self.assertEqual(set(current), set(source.state()))
         times = source.list_times
         for first, second in itertools.pairwise(times):
             self.assertGreaterEqual(second - first, RELIST_INTERVAL_S)
