--- a/tests/support/meshes.py
+++ b/tests/support/meshes.py
@@ -28,11 +28,11 @@
     from collections.abc import Awaitable, Callable
 
 
-STORE_START_LIMIT_S = 30.0
+STORE_START_TIMEOUT_S = 30.0
 
 
 class MeshTestCase(unittest.TestCase):
-    """A test with a mesh of its own, stopped at the end."""
+    """A test case with its own mesh, which is stopped after each test."""
 
     centres = 2
     per_centre = 2
@@ -59,14 +59,14 @@
     def run_async(self, body: Callable[[], Awaitable[None]], limit_s: float) -> None:
         """Run a test body under a time limit."""
 
-        async def limited() -> None:
+        async def run_limited() -> None:
             with trio.fail_after(limit_s):
                 await body()
 
-        trio.run(limited)
+        trio.run(run_limited)
 
     def start_nodes(self) -> None:
-        """Start the store, the proxy if wanted, and every node."""
+        """Start the store, the proxy if the mesh has one, and every node."""
         self.mesh.start_store()
         self._wait_for_store()
         if self.proxied:
@@ -75,18 +75,19 @@
             self.mesh.start_node(vm.name)
 
     def _wait_for_store(self) -> None:
-        """Wait until the store listens; a busy machine takes seconds to start it.
+        """Wait until the store listens, which takes seconds on a busy machine.
 
-        Nodes that find no store open their circuits, and refuse what a test rolls.
+        Nodes that cannot reach the store open their circuits and refuse the rolls of a
+        test.
         """
-        deadline = time.monotonic() + STORE_START_LIMIT_S
-        place = (self.mesh.plan.store_address, STORE_PORT)
+        deadline = time.monotonic() + STORE_START_TIMEOUT_S
+        endpoint = (self.mesh.plan.store_address, STORE_PORT)
         while time.monotonic() < deadline:
             with socket.socket() as sock:
-                if sock.connect_ex(place) == 0:
+                if sock.connect_ex(endpoint) == 0:
                     return
             time.sleep(0.05)
-        self.fail(f"the store did not listen within {STORE_START_LIMIT_S} s")
+        self.fail(f"the store did not listen within {STORE_START_TIMEOUT_S} s")
 
     def start_backends(self, service: str, releases: dict[str, str]) -> None:
         """Start one backend server on each named VM with a release."""
@@ -106,8 +107,8 @@
 
     async def ctl(self, *args: str) -> tuple[int, str, str]:
         """Run the operator's program; return status, output and errors."""
-        done = await trio.to_thread.run_sync(lambda: self.mesh.run_ctl(args))
-        return done.returncode, done.stdout, done.stderr
+        completed = await trio.to_thread.run_sync(lambda: self.mesh.run_ctl(args))
+        return completed.returncode, completed.stdout, completed.stderr
 
     def admin_address(self, vm_name: str) -> str:
         """Return the address and port of a node's administration API."""
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -1,4 +1,4 @@
-"""Servers inside the test's own process, for the edges of the request path."""
+"""Scripted TCP servers inside the test process and helpers that read connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 async def listening(
     script: Callable[[trio.SocketStream], Awaitable[None]],
 ) -> AsyncIterator[str]:
-    """Serve each connection with a script; give the address of the server."""
+    """Serve each connection with a script; yield the address of the server."""
     block = LoopbackBlock()
     address = f"127.{block.number}.1.1"
 
@@ -40,7 +40,7 @@
 
 
 async def read_request(stream: trio.SocketStream) -> bytes:
-    """Read one request with its body if that has a length; empty at the end."""
+    """Read one request, with its body if it has a length; empty at the end."""
     data = b""
     while b"\r\n\r\n" not in data:
         piece = await stream.receive_some(65_536)
--- a/tests/test_path/test_partition.py
+++ b/tests/test_path/test_partition.py
@@ -1,4 +1,4 @@
-"""A mesh behind the fault-injecting proxy."""
+"""Partition of two regions by the fault-injecting proxy."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 class PartitionTest(MeshTestCase):
     proxied = True
 
-    def test_cut_region_gets_the_bundle_when_it_heals(self) -> None:
+    def test_isolated_region_gets_the_bundle_when_the_cut_heals(self) -> None:
         self.run_async(self._cut_and_heal, 50)
 
     async def _cut_and_heal(self) -> None:
@@ -24,8 +24,8 @@
         path = self.write_bundle(BUNDLE)
         self.assertEqual((await self.roll(path, "cartago-norte-1"))[0], 0)
         await self.mesh.wait_until("cartago-norte-2", lambda s: s.version == 1)
-        cut = await self.mesh.admin("limon-muelle-1").status()
-        self.assertEqual(cut.version, 0)
+        isolated_status = await self.mesh.admin("limon-muelle-1").status()
+        self.assertEqual(isolated_status.version, 0)
         await self.mesh.set_faults()
         await self.mesh.wait_until("limon-muelle-2", lambda s: s.version == 1)
         counts = await self.mesh.byte_counts()
--- a/tests/test_path/test_storm.py
+++ b/tests/test_path/test_storm.py
@@ -1,4 +1,4 @@
-"""A seeded storm of faults over the whole path, and what must hold after it."""
+"""Seeded random faults on the whole request path while callers send requests."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from tests.support.meshes import MeshTestCase
 
 CALL_INTERVAL_S = 0.02
-FAULT_S = 2.5
-PAUSE_S = 0.8
-ROUNDS = 6
+FAULT_DURATION_S = 2.5
+FAULT_PAUSE_S = 0.8
+FAULT_COUNT = 6
 CALL_TIMEOUT_S = 8.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Called:
-    """One request and what its caller was told.
+class CallRecord:
+    """One request and the outcome that its caller received.
 
     Parameters
     ----------
@@ -32,15 +32,15 @@
         Idempotency key and last part of the path.
     size : int
         Bytes of its body.
-    told : str
-        ``answered``, ``not-run``, ``unknown`` or ``nothing``.
+    outcome : str
+        ``answered``, ``not-run``, ``unknown``, or ``nothing`` without a response.
     content : bytes
-        Body of the answer.
+        Body of the response.
     """
 
     key: str
     size: int
-    told: str
+    outcome: str
     content: bytes = b""
 
 
@@ -52,12 +52,12 @@
     def setUp(self) -> None:
         super().setUp()
         self.rng = random.Random(self.seed)
-        self.called: list[Called] = []
+        self.records: list[CallRecord] = []
 
-    def test_requests_run_at_most_once_and_refusals_are_true(self) -> None:
+    def test_requests_run_at_most_once_and_refused_ones_never(self) -> None:
         self.run_async(self._storm, 110)
-        told = {item.told for item in self.called}
-        self.assertIn("answered", told)
+        outcomes = {item.outcome for item in self.records}
+        self.assertIn("answered", outcomes)
 
     async def _storm(self) -> None:
         self.start_nodes()
@@ -71,23 +71,23 @@
             names[-1], lambda s: all(m.version == 1 for m in s.members)
         )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._call_steadily)
-            for number in range(1, ROUNDS + 1):
-                await self._one_fault(number)
-                await trio.sleep(PAUSE_S)
+            nursery.start_soon(self._send_calls)
+            for number in range(1, FAULT_COUNT + 1):
+                await self._inject_fault(number)
+                await trio.sleep(FAULT_PAUSE_S)
             nursery.cancel_scope.cancel()
-        await self._settle(names)
-        await self._check_runs()
+        await self._wait_until_recovered(names)
+        await self._check_run_counts()
 
-    async def _one_fault(self, number: int) -> None:
+    async def _inject_fault(self, number: int) -> None:
         fault = self.rng.choice(
             [
                 self._kill_node,
                 self._pause_node,
-                self._cut_centre,
-                self._silence,
+                self._cut_data_centre,
+                self._silence_all_links,
                 self._store_outage,
-                self._bad_backend,
+                self._degrade_backend,
             ]
         )
         await fault()
@@ -96,37 +96,38 @@
     async def _kill_node(self) -> None:
         name = self.rng.choice(self.mesh.plan.vms).name
         self.mesh.kill(name)
-        await trio.sleep(FAULT_S)
+        await trio.sleep(FAULT_DURATION_S)
         self.mesh.start_node(name)
 
     async def _pause_node(self) -> None:
         process = self.mesh.process(self.rng.choice(self.mesh.plan.vms).name)
         process.send_signal(signal.SIGSTOP)
-        await trio.sleep(FAULT_S)
+        await trio.sleep(FAULT_DURATION_S)
         process.send_signal(signal.SIGCONT)
 
-    async def _cut_centre(self) -> None:
-        centre = self.rng.choice(self.mesh.plan.vms).data_centre
+    async def _cut_data_centre(self) -> None:
+        data_centre = self.rng.choice(self.mesh.plan.vms).data_centre
         await self.mesh.set_faults(
             *(
-                Rule(centre, other, Action.DROP)
-                for other in {vm.data_centre for vm in self.mesh.plan.vms} - {centre}
+                Rule(data_centre, other, Action.DROP)
+                for other in {vm.data_centre for vm in self.mesh.plan.vms}
+                - {data_centre}
             )
         )
-        await trio.sleep(FAULT_S)
+        await trio.sleep(FAULT_DURATION_S)
         await self.mesh.set_faults()
 
-    async def _silence(self) -> None:
+    async def _silence_all_links(self) -> None:
         await self.mesh.set_faults(Rule("*", "*", Action.SILENCE))
-        await trio.sleep(FAULT_S)
+        await trio.sleep(FAULT_DURATION_S)
         await self.mesh.set_faults()
 
     async def _store_outage(self) -> None:
         await self.mesh.set_store_faults(StoreFaults(down=True))
-        await trio.sleep(FAULT_S)
+        await trio.sleep(FAULT_DURATION_S)
         await self.mesh.set_store_faults(StoreFaults(lose_replies=1))
 
-    async def _bad_backend(self) -> None:
+    async def _degrade_backend(self) -> None:
         vm = self.rng.choice(self.mesh.plan.vms)
         await self.mesh.set_backend_faults(
             vm.name,
@@ -134,7 +135,7 @@
                 refuse_share=0.2, drop_share=0.2, cut_share=0.2, hang_share=0.05
             ),
         )
-        await trio.sleep(FAULT_S)
+        await trio.sleep(FAULT_DURATION_S)
         await self.mesh.set_backend_faults(vm.name, BackendFaults())
 
     async def _roll_next(self, number: int) -> None:
@@ -155,16 +156,16 @@
         )
         await self.roll(path, self.rng.choice(self.mesh.plan.vms).name)
 
-    async def _call_steadily(self) -> None:
+    async def _send_calls(self) -> None:
         async with httpcore.AsyncConnectionPool() as pool, trio.open_nursery() as calls:
             for number in range(1_000_000):
-                calls.start_soon(self._call, pool, f"call-{number}")
+                calls.start_soon(self._send_call, pool, f"call-{number}")
                 await trio.sleep(CALL_INTERVAL_S)
 
-    async def _call(self, pool: httpcore.AsyncConnectionPool, key: str) -> None:
+    async def _send_call(self, pool: httpcore.AsyncConnectionPool, key: str) -> None:
         vm = self.rng.choice(self.mesh.plan.vms)
         size = self.rng.randrange(1, 3000)
-        told, content = "nothing", b""
+        outcome, content = "nothing", b""
         try:
             with trio.move_on_after(CALL_TIMEOUT_S):
                 response = await pool.request(
@@ -174,14 +175,14 @@
                     content=bytes(size),
                 )
                 headers = dict(response.headers)
-                outcome = headers.get(b"marigoldchute-outcome")
-                told = outcome.decode() if outcome else "answered"
+                outcome_header = headers.get(b"marigoldchute-outcome")
+                outcome = outcome_header.decode() if outcome_header else "answered"
                 content = response.content
         except (httpcore.NetworkError, httpcore.ProtocolError):
             pass
-        self.called.append(Called(key, size, told, content))
+        self.records.append(CallRecord(key, size, outcome, content))
 
-    async def _settle(self, names: list[str]) -> None:
+    async def _wait_until_recovered(self, names: list[str]) -> None:
         await self.mesh.set_faults()
         await self.mesh.set_store_faults(StoreFaults())
         await self.mesh.wait_until(
@@ -195,7 +196,7 @@
         status, out, err = 1, "", ""
         with trio.fail_after(20):
             while status != 0:
-                await self._roll_next(ROUNDS + 1)
+                await self._roll_next(FAULT_COUNT + 1)
                 version = (await self.mesh.admin(names[0]).status()).newest_version
                 status = 0 if version else 1
         await self.mesh.wait_until(
@@ -205,18 +206,18 @@
         )
         self.assertEqual((status, out, err), (0, "", ""))
 
-    async def _check_runs(self) -> None:
+    async def _check_run_counts(self) -> None:
         runs: dict[str, int] = {}
         for vm in self.mesh.plan.vms:
             state = await self.mesh.backend_state(vm.name)
             for key, count in state.runs.items():
                 runs[key] = runs.get(key, 0) + count
-        twice = [key for key, count in runs.items() if count > 1]
-        self.assertEqual(twice, [], "requests that ran more than once")
-        for item in self.called:
-            if item.told == "not-run":
+        duplicates = [key for key, count in runs.items() if count > 1]
+        self.assertEqual(duplicates, [], "requests that ran more than once")
+        for item in self.records:
+            if item.outcome == "not-run":
                 self.assertEqual(runs.get(item.key, 0), 0, item)
-            elif item.told == "answered":
+            elif item.outcome == "answered":
                 self.assertEqual(runs.get(item.key, 0), 1, item)
-                wanted = b"r1 /reservas/%s %d\n" % (item.key.encode(), item.size)
-                self.assertEqual(item.content, wanted)
+                expected = b"r1 /reservas/%s %d\n" % (item.key.encode(), item.size)
+                self.assertEqual(item.content, expected)
--- a/tests/test_path/test_thin_path.py
+++ b/tests/test_path/test_thin_path.py
@@ -1,4 +1,4 @@
-"""The whole path as real processes."""
+"""Roll, move and requests on a mesh of real processes."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 """
 
 
-class ThinPathTest(MeshTestCase):
+class WholePathTest(MeshTestCase):
     def test_roll_moves_traffic_and_verdict_is_done(self) -> None:
-        self.run_async(self._roll, 50)
+        self.run_async(self._roll_and_move, 50)
 
-    async def _roll(self) -> None:
+    async def _roll_and_move(self) -> None:
         self.start_nodes()
         releases = {"cartago-norte-1": "r1", "cartago-norte-2": "r2"}
         releases |= {"limon-muelle-1": "r1", "limon-muelle-2": "r2"}
@@ -44,7 +44,7 @@
         await self.mesh.wait_until(
             "limon-muelle-1", lambda s: all(m.version == 1 for m in s.members)
         )
-        before = await self._call_all(5)
+        before = await self._count_responses(5)
         self.assertGreater(before[200, b"r1"], before[200, b"r2"])
         status, out, err = await self.ctl(
             "verdict",
@@ -55,10 +55,12 @@
             "--json",
         )
         self.assertEqual((status, json.loads(out)["verdict"]), (0, "done"), err)
-        after = await self._call_all(5)
+        after = await self._count_responses(5)
         self.assertEqual(after, {(200, b"r2"): 20})
 
-    async def _call_all(self, rounds: int) -> collections.Counter[tuple[int, bytes]]:
+    async def _count_responses(
+        self, rounds: int
+    ) -> collections.Counter[tuple[int, bytes]]:
         counts: collections.Counter[tuple[int, bytes]] = collections.Counter()
         async with httpcore.AsyncConnectionPool() as pool:
             for _ in range(rounds):
@@ -70,9 +72,9 @@
         return counts
 
     def test_request_without_a_bundle_is_refused_as_not_run(self) -> None:
-        self.run_async(self._no_bundle, 30)
+        self.run_async(self._call_without_bundle, 30)
 
-    async def _no_bundle(self) -> None:
+    async def _call_without_bundle(self) -> None:
         self.start_nodes()
         await self.mesh.wait_until("cartago-norte-1", lambda s: True)
         async with httpcore.AsyncConnectionPool() as pool:
