--- a/marigoldchute/moves/__init__.py
+++ b/marigoldchute/moves/__init__.py
@@ -1,1 +1,1 @@
-"""Traffic moves between releases: schedule, evidence and verdict."""
+"""Moves of traffic between releases: schedule, evidence and verdict."""
--- a/marigoldchute/moves/capacity.py
+++ b/marigoldchute/moves/capacity.py
@@ -1,4 +1,4 @@
-"""Shares that the backend servers of two releases can carry."""
+"""Capacity of the backend servers of two releases."""
 
 from __future__ import annotations
 
@@ -12,44 +12,48 @@
 
 @dataclasses.dataclass(frozen=True)
 class Capacity:
-    """Slots of two releases and the load that they share.
+    """Slots of both releases of a move and their combined load.
 
     Parameters
     ----------
     old_slots, new_slots : int
         Slots of the usable backend servers of each release.
-    busy : float
-        Mean number of requests that run at a time, of both releases.
+    concurrency : float
+        Mean number of concurrent requests of both releases together.
     """
 
     old_slots: int
     new_slots: int
-    busy: float = 0.0
+    concurrency: float = 0.0
 
     @property
-    def greatest_share(self) -> float:
-        """Share that the new release's slots can carry."""
+    def max_share(self) -> float:
+        """Largest share for which the new release has enough slots."""
         if self.new_slots == 0:
             return 0.0
-        return min(1.0, self.new_slots / self.busy) if self.busy > 0.0 else 1.0
+        return (
+            min(1.0, self.new_slots / self.concurrency)
+            if self.concurrency > 0.0
+            else 1.0
+        )
 
 
-def measure_capacity(
-    members: Members, move: Move, busy: float, now_ms: int
+def compute_capacity(
+    members: Members, move: Move, concurrency: float, now_ms: int
 ) -> Capacity:
-    """Return the slots of a move's releases on the members that may be used.
+    """Return the slots of both releases of a move on the usable members.
 
     Parameters
     ----------
     members : Members
-        Members with their backend servers.
+        Members of the mesh with their backend servers.
     move : Move
         Move of one service.
-    busy : float
-        Mean number of the service's requests that run at a time.
+    concurrency : float
+        Mean number of concurrent requests of the service.
     now_ms : int
-        Wall-clock time in milliseconds since the epoch; a backend server in its cold
-        start does not count.
+        Wall-clock time in milliseconds since the epoch; backend servers in
+        their cold start are not counted.
     """
     slots = {move.old_release: 0, move.new_release: 0}
     for member in members.all():
@@ -60,4 +64,4 @@
                 continue
             if not server.draining and server.warm_at_ms <= now_ms:
                 slots[server.release] += server.slots
-    return Capacity(slots[move.old_release], slots[move.new_release], busy)
+    return Capacity(slots[move.old_release], slots[move.new_release], concurrency)
--- a/marigoldchute/moves/centre.py
+++ b/marigoldchute/moves/centre.py
@@ -11,7 +11,7 @@
     StreamKey,
 )
 from marigoldchute.moves.histogram import LatencyHistogram
-from marigoldchute.moves.model import LOG_UNIT, MoveSummary, StreamReport
+from marigoldchute.moves.model import LOG_RESOLUTION, MoveSummary, StreamReport
 from marigoldchute.moves.recorder import MIN_LATENCIES, SLOW_PERCENTILE
 
 if TYPE_CHECKING:
@@ -23,74 +23,79 @@
 
 
 class _MemberCounts:
-    """What one incarnation of a member has reported."""
+    """Cumulative counts that one incarnation of a member has reported."""
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
         self.cells: dict[CellKey, Counts] = {}
         self.latencies: dict[int, dict[int, int]] = {}
-        self.busy = 0.0
+        self.concurrency = 0.0
 
 
-class CentreEvidence:
-    """Merged counts and tests of one move.
+class DataCentreEvidence:
+    """Merged counts and sequential tests of one move.
 
-    The counts of a member that reports for the first time are where its later ones
-    start from: they may span many windows, in which the shares differed.
+    The first report of a member only sets the baseline for its later reports. Its
+    counts are not tested, because they may span many windows with different shares.
+
+    Parameters
+    ----------
+    move : Move
+        Move of the bundle in force.
     """
 
     def __init__(self, move: Move) -> None:
         self._move = move
         self._evidence = MoveEvidence(move.thresholds)
         self._members: dict[str, _MemberCounts] = {}
-        self._answered = 0
+        self._outcomes = 0
 
-    def take(
+    def apply_report(
         self, name: str, incarnation: int, report: MoveReport, now_ms: int
     ) -> None:
-        """Merge what a member has counted since its last report."""
-        held = self._members.get(name)
-        first = held is None or held.incarnation != incarnation
-        if held is None or first:
-            held = _MemberCounts(incarnation)
-            self._members[name] = held
-        held.busy = report.busy
-        held.latencies |= report.latencies
+        """Add the counts of a member since its previous report."""
+        existing = self._members.get(name)
+        first = existing is None or existing.incarnation != incarnation
+        if existing is None or first:
+            existing = _MemberCounts(incarnation)
+            self._members[name] = existing
+        existing.concurrency = report.concurrency
+        existing.latencies |= report.latencies
         for cell in report.cells:
             key = CellKey(cell.route, cell.new, cell.level)
             counts = Counts(*cell.counts)
-            fresh = counts.minus(held.cells.get(key, Counts()))
-            held.cells[key] = counts
+            delta = counts.minus(existing.cells.get(key, Counts()))
+            existing.cells[key] = counts
             if first:
                 continue
-            self._evidence.add(key, fresh, now_ms)
+            self._evidence.add(key, delta, now_ms)
             if cell.new:
-                self._answered += fresh.answered
+                self._outcomes += delta.outcomes
 
-    def keep_members(self, names: Iterable[str]) -> None:
-        """Forget the members that are gone."""
+    def retain_members(self, names: Iterable[str]) -> None:
+        """Discard the counts of all members except the given ones."""
         wanted = set(names)
         self._members = {n: m for n, m in self._members.items() if n in wanted}
 
-    def close_windows(self, now_ms: int, alone: bool) -> None:
-        """Hand every complete window to the tests."""
-        self._evidence.close_windows(now_ms, alone)
+    def close_windows(self, now_ms: int, at_full_share: bool) -> None:
+        """Pass the counts of every complete window to the tests."""
+        self._evidence.close_windows(now_ms, at_full_share)
 
-    def forget_suspicion(self) -> None:
-        """Begin anew to compare with the past."""
-        self._evidence.forget_suspicion()
+    def reset_history(self) -> None:
+        """Restart the comparison with the old release's past failure rate."""
+        self._evidence.reset_history()
 
     def summary(self) -> MoveSummary:
-        """Return what the other data centres need to know."""
+        """Return the evidence to send to the collectors of other data centres."""
         streams = tuple(
-            StreamReport(*key, tuple(round(value / LOG_UNIT) for value in values))
+            StreamReport(*key, tuple(round(value / LOG_RESOLUTION) for value in values))
             for key, values in self._evidence.streams().items()
         )
         return MoveSummary(
             self._move.move_id,
-            self._answered,
-            sum(member.busy for member in self._members.values()),
-            self._evidence.suspicious,
+            self._outcomes,
+            sum(member.concurrency for member in self._members.values()),
+            self._evidence.degraded,
             streams,
             self._percentiles(),
         )
@@ -108,10 +113,10 @@
 
 
 def streams_of(summary: MoveSummary) -> Streams:
-    """Return the e-processes of a summary."""
+    """Return the e-process of each test in a summary."""
     return {
         StreamKey(item.route, item.metric, item.level): tuple(
-            value * LOG_UNIT for value in item.logs
+            value * LOG_RESOLUTION for value in item.log_values
         )
         for item in summary.streams
     }
--- a/marigoldchute/moves/collector.py
+++ b/marigoldchute/moves/collector.py
@@ -1,4 +1,4 @@
-"""Collects, for one data centre, where each member stands and what it has counted."""
+"""Collects the move reports of the members of one data centre."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import msgspec
 
 from marigoldchute.link.methods import Method
-from marigoldchute.moves.centre import CentreEvidence, streams_of
+from marigoldchute.moves.centre import DataCentreEvidence, streams_of
 from marigoldchute.moves.evidence import log_e_value, merge_streams, worst_stream
-from marigoldchute.moves.judge import stand_of_centre
+from marigoldchute.moves.judge import confirmation_digest
 from marigoldchute.moves.model import Guidance, MemberReport, MoveSummary, Stage
 from marigoldchute.moves.sequential import log_threshold
-from marigoldchute.moves.watch import WARY_SHARE_OF_THRESHOLD, describe
+from marigoldchute.moves.watch import SUSPECTED_THRESHOLD_FRACTION, describe_fault
 
 if TYPE_CHECKING:
     from marigoldchute.link.handlers import Handlers
@@ -26,7 +26,7 @@
 
 
 class Collector:
-    """Keeps the last report of each member that reports to this node.
+    """Keeps the latest report of each member that reports to this node.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
     engine : MoveEngine
         Moves of the bundle in force.
     handlers : Handlers
-        Where the methods that peers call are registered.
+        Registry of the methods that peers call.
     clock : Clock
         Wall clock.
     """
@@ -47,19 +47,19 @@
         self._engine = engine
         self._clock = clock
         self._reports: dict[str, MemberReport] = {}
-        self._evidence: dict[str, CentreEvidence] = {}
-        self._abroad: dict[str, dict[str, MoveSummary]] = {}
+        self._evidence: dict[str, DataCentreEvidence] = {}
+        self._remote_summaries: dict[str, dict[str, MoveSummary]] = {}
         self._guidance: dict[str, Guidance] = {}
-        handlers.register(Method.REPORT_EVIDENCE, self._take_report)
-        handlers.register(Method.LIST_CONFIRMATIONS, self._list_reports)
-        handlers.register(Method.LIST_STANDS, self._list_stands)
+        handlers.register(Method.REPORT_EVIDENCE, self._handle_report)
+        handlers.register(Method.LIST_CONFIRMATIONS, self._list_member_reports)
+        handlers.register(Method.LIST_STANDS, self._list_confirmation_digests)
         handlers.register(Method.LIST_SUMMARIES, self._list_summaries)
 
-    def take(self, report: MemberReport, now_ms: int) -> None:
-        """Keep a report unless a later one of the member is held."""
-        held = self._reports.get(report.name)
+    def apply_report(self, report: MemberReport, now_ms: int) -> None:
+        """Store a report and merge its counts, unless it is stale."""
+        existing = self._reports.get(report.name)
         order = (report.incarnation, report.sequence)
-        if held is not None and (held.incarnation, held.sequence) >= order:
+        if existing is not None and (existing.incarnation, existing.sequence) >= order:
             return
         self._reports[report.name] = report
         for item in report.moves:
@@ -68,107 +68,117 @@
                 continue
             evidence = self._evidence.get(item.move_id)
             if evidence is None:
-                evidence = CentreEvidence(state.move)
+                evidence = DataCentreEvidence(state.move)
                 self._evidence[item.move_id] = evidence
-            evidence.take(report.name, report.incarnation, item, now_ms)
+            evidence.apply_report(report.name, report.incarnation, item, now_ms)
 
     def reports(self) -> list[MemberReport]:
-        """Return the last report of each member."""
+        """Return the latest report of each member."""
         return list(self._reports.values())
 
-    def stands(self) -> list[Stand]:
-        """Return which members of this data centre have confirmed each move."""
-        members = self._home_members()
+    def confirmation_digests(self) -> list[Stand]:
+        """Return the confirmation digest of this data centre for each move."""
+        members = self._local_members()
         return [
-            stand_of_centre(state.move.move_id, members, self._reports)
+            confirmation_digest(state.move.move_id, members, self._reports)
             for state in self._engine.states()
         ]
 
     def summaries(self) -> list[MoveSummary]:
-        """Return this data centre's evidence about each undecided move."""
+        """Return the evidence of this data centre about each undecided move."""
         return [
             self._evidence[state.move.move_id].summary()
             for state in self._engine.states()
             if state.verdict is None and state.move.move_id in self._evidence
         ]
 
-    def take_summaries(self, data_centre: str, summaries: list[MoveSummary]) -> None:
-        """Keep what the collector of another data centre has found."""
+    def apply_summaries(self, data_centre: str, summaries: list[MoveSummary]) -> None:
+        """Store the latest summaries from the collector of another data centre."""
         for summary in summaries:
-            held = self._abroad.setdefault(summary.move_id, {})
-            held[data_centre] = summary
+            existing = self._remote_summaries.setdefault(summary.move_id, {})
+            existing[data_centre] = summary
 
     def guidance(self) -> list[Guidance]:
-        """Return what the members of this data centre need to know of each move."""
+        """Return the guidance for members of this data centre, by undecided move."""
         return list(self._guidance.values())
 
     def merge(self, now_ms: int) -> None:
-        """Close windows, test the evidence of all data centres, publish faults."""
-        names = {member.name for member in self._home_members()}
+        """Close windows, test the evidence of all data centres and publish faults."""
+        names = {member.name for member in self._local_members()}
         self._reports = {n: r for n, r in self._reports.items() if n in names}
         undecided = [s for s in self._engine.states() if s.verdict is None]
-        known = {state.move.move_id for state in undecided}
-        self._evidence = {m: e for m, e in self._evidence.items() if m in known}
-        self._abroad = {m: s for m, s in self._abroad.items() if m in known}
-        self._guidance = {m: g for m, g in self._guidance.items() if m in known}
+        undecided_ids = {state.move.move_id for state in undecided}
+        self._evidence = {m: e for m, e in self._evidence.items() if m in undecided_ids}
+        self._remote_summaries = {
+            m: s for m, s in self._remote_summaries.items() if m in undecided_ids
+        }
+        self._guidance = {m: g for m, g in self._guidance.items() if m in undecided_ids}
         for move_id, evidence in self._evidence.items():
-            evidence.keep_members(names)
+            evidence.retain_members(names)
             self._merge_move(move_id, evidence, now_ms)
 
-    def _merge_move(self, move_id: str, evidence: CentreEvidence, now_ms: int) -> None:
+    def _merge_move(
+        self, move_id: str, evidence: DataCentreEvidence, now_ms: int
+    ) -> None:
         state = self._engine.state(move_id)
-        recorder = self._engine.recorder_of(move_id)
+        recorder = self._engine.move_recorder(move_id)
         if state is None or recorder is None:
             return
-        if state.probing(now_ms):
-            evidence.forget_suspicion()
+        if state.is_comparing(now_ms):
+            evidence.reset_history()
         evidence.close_windows(now_ms, state.share >= 1.0)
-        parts = [evidence.summary(), *self._abroad.get(move_id, {}).values()]
+        parts = [evidence.summary(), *self._remote_summaries.get(move_id, {}).values()]
         streams = merge_streams(streams_of(part) for part in parts)
         log_e = log_e_value(streams)
-        limit = log_threshold(state.move.thresholds.false_alarm, 2)
-        if log_e > limit and state.fault is None:
-            reason = describe(recorder, worst_stream(streams))
+        threshold = log_threshold(state.move.thresholds.false_alarm, 2)
+        if log_e > threshold and state.fault is None:
+            reason = describe_fault(recorder, worst_stream(streams))
             self._engine.report_fault(move_id, reason, now_ms)
-        wary = log_e > WARY_SHARE_OF_THRESHOLD * limit
-        self._guidance[move_id] = self._guide(move_id, parts, wary)
+        suspected = log_e > SUSPECTED_THRESHOLD_FRACTION * threshold
+        self._guidance[move_id] = self._build_guidance(move_id, parts, suspected)
 
-    def _guide(self, move_id: str, parts: list[MoveSummary], wary: bool) -> Guidance:
-        reported = [
+    def _build_guidance(
+        self, move_id: str, parts: list[MoveSummary], suspected: bool
+    ) -> Guidance:
+        move_reports = [
             item
             for report in self._reports.values()
             for item in report.moves
             if item.move_id == move_id
         ]
-        rolling = [r.step for r in reported if r.stage == Stage.ROLLING and not r.late]
+        rolling_steps = [
+            r.step
+            for r in move_reports
+            if r.stage == Stage.ROLLING and not r.joined_late
+        ]
         p95_ms: dict[int, float] = {}
         for part in reversed(parts):
             p95_ms |= part.p95_ms
         return Guidance(
             move_id,
-            min(rolling, default=-1),
-            sum(part.answered for part in parts),
-            sum(part.busy for part in parts),
-            wary,
-            any(part.suspicious for part in parts),
-            sum(r.stage == Stage.CONFIRMED for r in reported),
-            sum(r.stage == Stage.RETURNED for r in reported),
+            min(rolling_steps, default=-1),
+            sum(part.outcomes for part in parts),
+            sum(part.concurrency for part in parts),
+            suspected,
+            any(part.degraded for part in parts),
+            sum(r.stage == Stage.CONFIRMED for r in move_reports),
+            sum(r.stage == Stage.RETURNED for r in move_reports),
             p95_ms,
         )
 
-    def _home_members(self) -> list[Member]:
-        home = self._members.local.data_centre
-        return [m for m in self._members.all() if m.data_centre == home]
+    def _local_members(self) -> list[Member]:
+        data_centre = self._members.local.data_centre
+        return [m for m in self._members.all() if m.data_centre == data_centre]
 
-    async def _take_report(self, link: Link, body: bytes) -> bytes:
-        self.take(_REPORT.decode(body), self._clock.now_ms())
+    async def _handle_report(self, link: Link, body: bytes) -> bytes:
+        self.apply_report(_REPORT.decode(body), self._clock.now_ms())
         return msgspec.msgpack.encode(self.guidance())
 
-    async def _list_reports(self, link: Link, body: bytes) -> bytes:
+    async def _list_member_reports(self, link: Link, body: bytes) -> bytes:
         return msgspec.msgpack.encode(self.reports())
 
-    async def _list_stands(self, link: Link, body: bytes) -> bytes:
-        return msgspec.msgpack.encode(self.stands())
+    async def _list_confirmation_digests(self, link: Link, body: bytes) -> bytes:
+        return msgspec.msgpack.encode(self.confirmation_digests())
 
     async def _list_summaries(self, link: Link, body: bytes) -> bytes:
         return msgspec.msgpack.encode(self.summaries())
--- a/marigoldchute/moves/driver.py
+++ b/marigoldchute/moves/driver.py
@@ -1,4 +1,4 @@
-"""Decides moves: writes the one verdict of each to the store."""
+"""Decides moves and writes one verdict for each to the store."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import trio
 
 from marigoldchute.errors import PlatformError, ResultCode
-from marigoldchute.moves.judge import Decision, judge
+from marigoldchute.moves.judge import Decision, decide_verdict
 from marigoldchute.moves.model import Verdict
 from marigoldchute.objectstore.conditional import create_once
 from marigoldchute.overlay.duties import DRIVER
@@ -27,7 +27,7 @@
 
 VERDICT_PREFIX = "verdicts/"
 DECIDE_INTERVAL_S = 0.25
-READER_CHECK_S = 0.5
+READER_CHECK_INTERVAL_S = 0.5
 BACKUP_DELAY_MS = 1000
 
 _VERDICT = msgspec.json.Decoder(Verdict)
@@ -39,29 +39,29 @@
 
 
 def decode_verdict(value: bytes) -> Verdict:
-    """Decode a verdict as the store holds it.
+    """Decode a verdict read from the store.
 
     Raises
     ------
     PlatformError
-        The store holds something else.
+        The value is not a valid verdict.
     """
     try:
         return _VERDICT.decode(value)
     except msgspec.DecodeError as exc:
         raise PlatformError(
-            f"the store holds a malformed verdict: {exc}",
+            f"cannot decode a verdict from the store: {exc}",
             ResultCode.STORE_ANSWER_MALFORMED,
         ) from exc
 
 
 async def write_verdict(store: ObjectStore, verdict: Verdict) -> Verdict:
-    """Write a verdict unless one stands; return the one that stands.
+    """Write a verdict unless the store has one; return the stored verdict.
 
     Raises
     ------
     PlatformError
-        It is not known which verdict stands.
+        It is unknown which verdict is stored.
     """
     created = await create_once(
         store,
@@ -75,10 +75,11 @@
 class Driver:
     """Decides the moves of the bundle in force while this node is the driver.
 
-    The driver is the first reachable member in rendezvous order; the first of each data
-    centre steps in for it when a verdict is overdue, so that a cut-off driver delays
-    nobody. Two drivers at once are harmless: a verdict is a conditional create, and
-    each writes only what the confirmations that it holds justify.
+    The driver is the first reachable member in rendezvous order. When a verdict is
+    overdue, the first reachable member of each data centre acts as backup driver, so
+    that a driver behind a network partition does not delay the verdict. Two drivers at
+    the same time are safe: a verdict is written with a conditional create, and each
+    driver writes only verdicts that its collected confirmations justify.
     """
 
     def __init__(
@@ -99,27 +100,27 @@
 
     @property
     def is_driver(self) -> bool:
-        """Whether this node decides moves now."""
+        """Whether this node is the driver of the mesh."""
         return self._membership.duties.is_held_here(DRIVER)
 
     @property
     def is_backup(self) -> bool:
-        """Whether this node decides what the driver leaves undecided."""
-        home = self._membership.local.data_centre
-        return self._membership.duties.is_held_here(DRIVER, home)
+        """Whether this node is the backup driver of its data centre."""
+        data_centre = self._membership.local.data_centre
+        return self._membership.duties.is_held_here(DRIVER, data_centre)
 
     async def run(self) -> None:
         """Decide moves until cancelled."""
         while True:
             await trio.sleep(DECIDE_INTERVAL_S)
-            due = self._due_states(self._clock.now_ms())
-            if not due:
+            states = self._states_to_decide(self._clock.now_ms())
+            if not states:
                 continue
-            stands = await self._reporter.gather_stands()
-            for state in due:
-                await self._decide(state, stands.get(state.move.move_id, {}))
+            digests = await self._reporter.gather_confirmations()
+            for state in states:
+                await self._decide(state, digests.get(state.move.move_id, {}))
 
-    def _due_states(self, now_ms: int) -> list[MoveState]:
+    def _states_to_decide(self, now_ms: int) -> list[MoveState]:
         undecided = [s for s in self._engine.states() if s.verdict is None]
         if not undecided or self.is_driver:
             return undecided
@@ -133,13 +134,13 @@
             latest_ms = min(latest_ms, state.fault.at_ms + self._clock_error_ms)
         return now_ms > latest_ms + BACKUP_DELAY_MS
 
-    async def _decide(self, state: MoveState, stands: dict[str, Stand]) -> None:
+    async def _decide(self, state: MoveState, digests: dict[str, Stand]) -> None:
         now_ms = self._clock.now_ms()
-        decision = judge(
+        decision = decide_verdict(
             state.move,
             state.fault,
             self._membership.all(),
-            stands,
+            digests,
             now_ms,
             self._clock_error_ms,
         )
@@ -147,10 +148,10 @@
             return
         verdict = self._verdict(state.move.move_id, decision, now_ms)
         try:
-            standing = await write_verdict(self._store, verdict)
+            stored = await write_verdict(self._store, verdict)
         except PlatformError:
             return
-        self._engine.publish_verdict(standing)
+        self._engine.publish_verdict(stored)
 
     def _verdict(self, move_id: str, decision: Decision, now_ms: int) -> Verdict:
         return Verdict(
@@ -165,19 +166,19 @@
 
 
 class VerdictReader:
-    """Watches the store for the verdicts of undecided moves, one node a data centre.
+    """Watches the store for verdicts of undecided moves, on one node per data centre.
 
-    A writer that dies before it has told its peers leaves the verdict in the store
-    alone.
+    If the writer of a verdict dies before it notifies its peers, only the store has
+    the verdict.
 
     Parameters
     ----------
     engine : MoveEngine
         Moves of the bundle in force.
     store : ObjectStore
-        Where verdicts stand.
+        Store that holds the verdicts.
     is_reader : callable
-        Whether this node reads the store for its data centre.
+        Returns whether this node reads the store for its data centre.
     """
 
     def __init__(
@@ -186,27 +187,27 @@
         self._engine = engine
         self._store = store
         self._is_reader = is_reader
-        self._scopes: dict[str, trio.CancelScope] = {}
+        self._watch_scopes: dict[str, trio.CancelScope] = {}
 
     async def run(self) -> None:
-        """Keep a watch for each undecided move until cancelled."""
+        """Watch the verdict key of each undecided move until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                wanted = self._undecided() if self._is_reader() else set()
-                for move_id in wanted - self._scopes.keys():
-                    self._scopes[move_id] = trio.CancelScope()
+                undecided = self._undecided_move_ids() if self._is_reader() else set()
+                for move_id in undecided - self._watch_scopes.keys():
+                    self._watch_scopes[move_id] = trio.CancelScope()
                     nursery.start_soon(self._watch, move_id)
-                for move_id in self._scopes.keys() - wanted:
-                    self._scopes.pop(move_id).cancel()
-                await trio.sleep(READER_CHECK_S)
+                for move_id in self._watch_scopes.keys() - undecided:
+                    self._watch_scopes.pop(move_id).cancel()
+                await trio.sleep(READER_CHECK_INTERVAL_S)
 
-    def _undecided(self) -> set[str]:
+    def _undecided_move_ids(self) -> set[str]:
         states = self._engine.states()
         return {state.move.move_id for state in states if state.verdict is None}
 
     async def _watch(self, move_id: str) -> None:
         key = verdict_key(move_id)
-        with self._scopes[move_id]:
+        with self._watch_scopes[move_id]:
             async for event in self._store.watch(key):
                 if event.key == key and event.value is not None:
                     self._engine.publish_verdict(decode_verdict(event.value))
--- a/marigoldchute/moves/engine.py
+++ b/marigoldchute/moves/engine.py
@@ -1,4 +1,4 @@
-"""Share in force on this node for each move of the bundle in force."""
+"""Shares in force on this node for the moves of the bundle in force."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 
 from marigoldchute.errors import NotRunError, ResultCode
-from marigoldchute.moves.capacity import Capacity, measure_capacity
+from marigoldchute.moves.capacity import Capacity, compute_capacity
 from marigoldchute.moves.model import (
     CellReport,
     Fault,
@@ -18,8 +18,8 @@
 )
 from marigoldchute.moves.preflight import check_moves
 from marigoldchute.moves.recorder import EvidenceRecorder
-from marigoldchute.moves.state import MoveState, Surroundings
-from marigoldchute.moves.watch import LocalWatch
+from marigoldchute.moves.state import MoveInputs, MoveState
+from marigoldchute.moves.watch import LocalFaultDetector
 from marigoldchute.overlay.records import Record, RecordKind
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
 
 JOIN_MARGIN_MS = 5000
 CAPACITY_INTERVAL_MS = 500
-FEW_LATENCIES = 400
+SMALL_HISTOGRAM_COUNT = 400
 
 _VERDICT = msgspec.msgpack.Decoder(Verdict)
 _FAULT = msgspec.msgpack.Decoder(Fault)
@@ -51,15 +51,15 @@
     members : Members
         Members of the mesh.
     table : RecordTable
-        Replicated records; faults and verdicts travel in it.
+        Replicated records, which distribute faults and verdicts.
     log : EventLog
         Event log.
     clock : Clock
         Wall clock.
     clock_error_ms : int
-        Greatest difference between a clock and true time.
+        Maximum difference between a clock and true time.
     use_evidence : bool
-        Whether outcomes of requests act on moves; benches compare without.
+        Whether request outcomes affect moves; benchmarks disable this to compare.
     """
 
     def __init__(
@@ -80,13 +80,13 @@
         self._use_evidence = use_evidence
         self._states: dict[str, MoveState] = {}
         self._by_service: dict[str, MoveState] = {}
-        self._watches: dict[str, LocalWatch] = {}
+        self._detectors: dict[str, LocalFaultDetector] = {}
         self._guidance: dict[str, Guidance] = {}
         self._capacity: dict[str, tuple[int, Capacity]] = {}
         self.recorder = EvidenceRecorder()
-        in_force.on_swap(self._take_bundle)
-        table.subscribe(RecordKind.FAULT, self._take_fault)
-        table.subscribe(RecordKind.VERDICT, self._take_verdict)
+        in_force.on_swap(self._apply_bundle)
+        table.subscribe(RecordKind.FAULT, self._handle_fault)
+        table.subscribe(RecordKind.VERDICT, self._handle_verdict)
 
     def states(self) -> tuple[MoveState, ...]:
         """Return the state of every move of the bundle in force."""
@@ -96,52 +96,53 @@
         """Return the state of a move of the bundle in force."""
         return self._states.get(move_id)
 
-    def recorder_of(self, move_id: str) -> MoveRecorder | None:
-        """Return the counts of a move on this node."""
-        return self.recorder.of_move(move_id)
+    def move_recorder(self, move_id: str) -> MoveRecorder | None:
+        """Return the recorder of a move on this node."""
+        return self.recorder.move_recorder(move_id)
 
     def split(self, service: str, release: str) -> Split:
-        """Return how the requests of a service divide now.
+        """Return the current split of a service's requests between releases.
 
         Parameters
         ----------
         service : str
             Service name.
         release : str
-            Release of the service when no move is under way.
+            Release of the service when no move is in progress.
 
         Raises
         ------
         NotRunError
-            The deadline of a move has passed and this node, which joined late, has not
-            found out how it ended.
+            The deadline of a move has passed, this node joined late and it does not
+            know the outcome of the move yet.
         """
         state = self._by_service.get(service)
         if state is None:
             return Split(release, release, 0.0)
         move = state.move
-        if not state.knows_its_share(self._guidance.get(move.move_id)):
+        if not state.is_share_known(self._guidance.get(move.move_id)):
             raise NotRunError(
-                f"the verdict of {move.move_id} is not known",
+                f"the verdict of move {move.move_id} is not known on this node",
                 ResultCode.REQUEST_NOT_RUN_MOVE_UNDECIDED,
             )
         return Split(move.old_release, move.new_release, state.share, move.move_id)
 
-    def reports(self, with_latencies: bool = False) -> tuple[MoveReport, ...]:
-        """Return where this node stands in each move and what it has counted.
+    def reports(self, include_latencies: bool = False) -> tuple[MoveReport, ...]:
+        """Return the state and the counts of this node for each move.
 
         Parameters
         ----------
         with_latencies : bool
-            Whether to include histograms that have become large.
+            Whether to include latency histograms of ``SMALL_HISTOGRAM_COUNT`` or more
+            latencies; smaller ones are always included.
         """
         return tuple(
-            self._report(state, with_latencies) for state in self._states.values()
+            self._report(state, include_latencies) for state in self._states.values()
         )
 
-    def _report(self, state: MoveState, with_latencies: bool) -> MoveReport:
+    def _report(self, state: MoveState, include_latencies: bool) -> MoveReport:
         move_id = state.move.move_id
-        recorder = self.recorder.of_move(move_id)
+        recorder = self.recorder.move_recorder(move_id)
         if recorder is None or state.verdict is not None:
             return MoveReport(move_id, state.share, state.confirmed, state.stage)
         cells = tuple(
@@ -150,7 +151,7 @@
         latencies = {
             route: dict(histogram.counts)
             for route, histogram in recorder.latencies.items()
-            if with_latencies or histogram.total < FEW_LATENCIES
+            if include_latencies or histogram.total < SMALL_HISTOGRAM_COUNT
         }
         return MoveReport(
             move_id,
@@ -158,93 +159,102 @@
             state.confirmed,
             state.stage,
             state.progress.step,
-            round(self.recorder.busy_of(state.move.service), 2),
+            round(self.recorder.concurrency_of(state.move.service), 2),
             cells,
             latencies,
-            state.late,
+            state.joined_late,
         )
 
-    def guide(self, guidance: Iterable[Guidance]) -> None:
-        """Take what the collector of the data centre knows."""
+    def apply_guidance(self, guidance: Iterable[Guidance]) -> None:
+        """Store the guidance received from the collector of the data centre."""
         for item in guidance:
             self._guidance[item.move_id] = item
-            recorder = self.recorder.of_move(item.move_id)
+            recorder = self.recorder.move_recorder(item.move_id)
             if recorder is not None:
-                recorder.shared_p95_ms = item.p95_ms
+                recorder.collector_p95_ms = item.p95_ms
 
     def check_moves(self, content: BundleContent) -> None:
-        """Refuse a bundle whose moves cannot be in time or overload a new release.
+        """Reject a bundle whose moves miss their deadline or overload a new release.
 
         Raises
         ------
         MoveError
-            The first such move.
+            A new move fails one of these checks; the first one is reported.
         """
         nodes = len(self._members.all())
-        busy = {
-            service.name: nodes * self.recorder.busy_of(service.name)
+        concurrency = {
+            service.name: nodes * self.recorder.concurrency_of(service.name)
             for service in content.services
         }
         now_ms = self._clock.now_ms()
         check_moves(
-            content, self.states(), self._members, busy, now_ms, self._clock_error_ms
+            content,
+            self.states(),
+            self._members,
+            concurrency,
+            now_ms,
+            self._clock_error_ms,
         )
 
     def rejoin(self) -> None:
-        """Take note that others may have held this node for gone meanwhile."""
+        """Mark this node as a late member of every move it has not confirmed.
+
+        Called when this node starts a new incarnation: other members may have treated
+        the previous one as gone.
+        """
         for state in self._states.values():
-            state.rejoin()
+            state.on_new_incarnation()
 
     def advance(self, now_ms: int) -> bool:
-        """Bring every share to what is allowed now; return whether one changed."""
+        """Update the share of every move; return whether any state changed."""
         changed = False
-        self.recorder.measure_busy(now_ms)
+        self.recorder.update_concurrency(now_ms)
         for state in self._states.values():
-            around = Surroundings()
+            inputs = MoveInputs()
             if state.verdict is None:
-                self._look(state, now_ms)
-                around = self._surroundings(state, now_ms)
-            if state.advance(now_ms, self._clock_error_ms, around):
+                self._detect_fault(state, now_ms)
+                inputs = self._inputs(state, now_ms)
+            if state.advance(now_ms, self._clock_error_ms, inputs):
                 changed = True
                 self._log_share(state)
         return changed
 
-    def _look(self, state: MoveState, now_ms: int) -> None:
+    def _detect_fault(self, state: MoveState, now_ms: int) -> None:
         if not self._use_evidence:
             return
-        watch = self._watches[state.move.move_id]
-        if state.probing(now_ms):
-            watch.forget_suspicion()
+        detector = self._detectors[state.move.move_id]
+        if state.is_comparing(now_ms):
+            detector.reset_history()
         nodes = len(self._members.all())
-        reason = watch.look(now_ms, state.share, nodes)
+        reason = detector.detect(now_ms, state.share, nodes)
         if reason is not None and state.fault is None:
             self.report_fault(state.move.move_id, reason, now_ms)
 
-    def _surroundings(self, state: MoveState, now_ms: int) -> Surroundings:
+    def _inputs(self, state: MoveState, now_ms: int) -> MoveInputs:
         move = state.move
         guidance = self._guidance.get(move.move_id)
-        watch = self._watches[move.move_id]
-        known = guidance if guidance is not None else Guidance(move.move_id)
-        capacity = self._capacity_of(move, known.busy, now_ms)
+        detector = self._detectors[move.move_id]
+        totals = guidance if guidance is not None else Guidance(move.move_id)
+        capacity = self._cached_capacity(move, totals.concurrency, now_ms)
         if not self._use_evidence:
-            return Surroundings(capacity, guidance=guidance, by_schedule=True)
-        return Surroundings(
+            return MoveInputs(capacity, guidance=guidance, schedule_only=True)
+        return MoveInputs(
             capacity,
-            max(known.answered, watch.answered),
-            known.wary or watch.wary,
-            known.suspicious or watch.suspicious,
+            max(totals.outcomes, detector.outcomes),
+            totals.suspected or detector.suspected,
+            totals.degraded or detector.degraded,
             guidance,
         )
 
-    def _capacity_of(self, move: Move, busy: float, now_ms: int) -> Capacity:
-        measured_ms, held = self._capacity.get(move.move_id, (0, None))
-        if held is None or now_ms - measured_ms >= CAPACITY_INTERVAL_MS:
-            held = measure_capacity(self._members, move, busy, now_ms)
-            self._capacity[move.move_id] = (now_ms, held)
-        return held
+    def _cached_capacity(self, move: Move, concurrency: float, now_ms: int) -> Capacity:
+        computed_ms, existing = self._capacity.get(move.move_id, (0, None))
+        if existing is None or now_ms - computed_ms >= CAPACITY_INTERVAL_MS:
+            existing = compute_capacity(self._members, move, concurrency, now_ms)
+            self._capacity[move.move_id] = (now_ms, existing)
+        return existing
 
     def report_fault(self, move_id: str, reason: str, now_ms: int) -> None:
-        """Publish a fault of a new release that this node has found."""
+        """Publish a fault of a new release that this node has detected."""
         if not self._use_evidence:
             return
         node = self._members.local.name
@@ -252,7 +262,7 @@
         self._table.offer(Record(RecordKind.FAULT, move_id, (1, 0), body))
 
     def publish_verdict(self, verdict: Verdict) -> None:
-        """Publish a verdict that the store holds."""
+        """Publish a verdict read from the store."""
         body = msgspec.msgpack.encode(verdict)
         self._table.offer(Record(RecordKind.VERDICT, verdict.move_id, (1, 0), body))
 
@@ -269,30 +279,30 @@
             step=state.progress.step,
         )
 
-    def _take_bundle(self, bundle: Bundle) -> None:
+    def _apply_bundle(self, bundle: Bundle) -> None:
         now_ms = self._clock.now_ms()
         states = {}
         for move in bundle.content.moves:
-            held = self._states.get(move.move_id)
-            if held is None:
-                held = MoveState(move, self._joined_late(move, now_ms))
-            states[move.move_id] = held
+            existing = self._states.get(move.move_id)
+            if existing is None:
+                existing = MoveState(move, self._joined_late(move, now_ms))
+            states[move.move_id] = existing
         self._states = states
         self._by_service = {state.move.service: state for state in states.values()}
-        self.recorder.take_bundle(bundle)
-        self._watches = {
-            move_id: self._watch_of(move_id, recorder)
+        self.recorder.apply_bundle(bundle)
+        self._detectors = {
+            move_id: self._detector_for(move_id, recorder)
             for move_id in states
-            if (recorder := self.recorder.of_move(move_id)) is not None
+            if (recorder := self.recorder.move_recorder(move_id)) is not None
         }
         for state in states.values():
-            self._recall(state)
+            self._restore_records(state)
 
-    def _watch_of(self, move_id: str, recorder: MoveRecorder) -> LocalWatch:
-        held = self._watches.get(move_id)
-        if held is not None and held.recorder is recorder:
-            return held
-        return LocalWatch(recorder)
+    def _detector_for(self, move_id: str, recorder: MoveRecorder) -> LocalFaultDetector:
+        existing = self._detectors.get(move_id)
+        if existing is not None and existing.recorder is recorder:
+            return existing
+        return LocalFaultDetector(recorder)
 
     def _joined_late(self, move: Move, now_ms: int) -> bool:
         if now_ms + self._clock_error_ms <= move.start_ms:
@@ -300,7 +310,7 @@
         started_ms = self._members.local.incarnation
         return started_ms > move.start_ms - JOIN_MARGIN_MS
 
-    def _recall(self, state: MoveState) -> None:
+    def _restore_records(self, state: MoveState) -> None:
         fault = self._table.get(RecordKind.FAULT, state.move.move_id)
         verdict = self._table.get(RecordKind.VERDICT, state.move.move_id)
         if fault is not None:
@@ -308,7 +318,7 @@
         if verdict is not None:
             state.verdict = _VERDICT.decode(verdict.body)
 
-    def _take_fault(self, record: Record) -> None:
+    def _handle_fault(self, record: Record) -> None:
         fault = _FAULT.decode(record.body)
         state = self._states.get(fault.move_id)
         if state is None:
@@ -317,12 +327,12 @@
         self._log.emit(
             "moves",
             "fault",
-            f"{fault.move_id} has a fault seen by {fault.node}: {fault.reason}.",
+            f"{fault.move_id} has a fault detected by {fault.node}: {fault.reason}.",
             move=fault.move_id,
             seen_by=fault.node,
         )
 
-    def _take_verdict(self, record: Record) -> None:
+    def _handle_verdict(self, record: Record) -> None:
         verdict = _VERDICT.decode(record.body)
         state = self._states.get(verdict.move_id)
         if state is None:
--- a/marigoldchute/moves/evidence.py
+++ b/marigoldchute/moves/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence about a new release: counts beside the old one, and their tests."""
+"""Evidence about a new release: outcome counts of both releases and their tests."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 
 WINDOW_MS = 1000
 MAX_WINDOW_MS = 10_000
-EVERY_LEVEL = -1
-SUSPICION = 5.0
+ALL_LEVELS = -1
+DEGRADED_LOG_THRESHOLD = 5.0
 
 
 class Metric(enum.IntEnum):
-    """What counts as a failure."""
+    """Kind of failure that a test counts."""
 
     ERROR = 0
     SLOW = 1
 
 
 class CellKey(NamedTuple):
-    """Route, release and load level of a group of answers.
+    """Route, release and load level of a group of outcomes.
 
     Parameters
     ----------
     route : int
         Index among the sorted names of the service's routes.
     new : bool
-        Whether the new release answered.
+        Whether the outcomes are of the new release.
     level : int
         Load level of the backend server.
     """
@@ -49,17 +49,18 @@
 
 
 class Counts(NamedTuple):
-    """Answers of one cell.
+    """Outcome counts of one cell.
 
     Parameters
     ----------
-    answered, errors : int
-        Answers, and those among them that failed.
+    outcomes, errors : int
+        Outcomes that count for the error rate, and how many of them are errors.
     timed, slow : int
-        Answers whose latency was judged, and those among them that were slow.
+        Outcomes whose latency was compared with the slow limit, and how many of them
+        exceeded it.
     """
 
-    answered: int = 0
+    outcomes: int = 0
     errors: int = 0
     timed: int = 0
     slow: int = 0
@@ -72,15 +73,15 @@
         """Return the difference of two counts."""
         return Counts(*(a - b for a, b in zip(self, other, strict=True)))
 
-    def of(self, metric: Metric) -> tuple[int, int]:
-        """Return the observations and failures of a metric."""
+    def observations(self, metric: Metric) -> tuple[int, int]:
+        """Return the numbers of observations and failures for a metric."""
         if metric is Metric.ERROR:
-            return self.answered, self.errors
+            return self.outcomes, self.errors
         return self.timed, self.slow
 
 
 class StreamKey(NamedTuple):
-    """One sequential test: a route, a metric, and one load level or every level."""
+    """Key of one sequential test; ``ALL_LEVELS`` as level covers every load level."""
 
     route: int
     metric: int
@@ -92,7 +93,7 @@
 
 @dataclasses.dataclass
 class _Window:
-    """Counts of one route and load level that no test has taken yet."""
+    """Counts of one route and load level that have not been tested yet."""
 
     since_ms: int
     old: Counts = Counts()
@@ -100,12 +101,12 @@
 
 
 class MoveEvidence:
-    """Windows and tests of one move, over the counts of one node or data centre.
+    """Windows and tests of one move for the counts of one node or data centre.
 
     Parameters
     ----------
     thresholds : Thresholds
-        Tolerances of the move.
+        Thresholds of the move.
     """
 
     def __init__(self, thresholds: Thresholds) -> None:
@@ -118,7 +119,7 @@
         self._history: dict[tuple[int, Metric], HistoryTest] = {}
 
     def add(self, key: CellKey, counts: Counts, now_ms: int) -> None:
-        """Add answers that were counted since the last call."""
+        """Add the counts of one cell since the previous call."""
         window = self._windows.get((key.route, key.level))
         if window is None:
             window = _Window(now_ms)
@@ -128,39 +129,43 @@
         else:
             window.old = window.old.plus(counts)
 
-    def close_windows(self, now_ms: int, alone: bool) -> None:
-        """Hand every window that is complete to the tests.
+    def close_windows(self, now_ms: int, at_full_share: bool) -> None:
+        """Pass the counts of every complete window to the tests.
 
         Parameters
         ----------
         now_ms : int
             Wall-clock time in milliseconds since the epoch.
-        alone : bool
-            Whether the new release takes all traffic, so that no answers of the old
-            one will come to stand beside its own.
+        at_full_share : bool
+            Whether the new release gets all traffic, so that there are no concurrent
+            outcomes of the old release to compare with.
         """
         for (route, level), window in tuple(self._windows.items()):
             age_ms = now_ms - window.since_ms
-            paired = window.old.answered > 0 and window.new.answered > 0
-            only_new = alone and window.old.answered == 0
+            paired = window.old.outcomes > 0 and window.new.outcomes > 0
+            only_new = at_full_share and window.old.outcomes == 0
             if age_ms < WINDOW_MS:
                 continue
             if not (paired or only_new or age_ms >= MAX_WINDOW_MS):
                 continue
             del self._windows[route, level]
-            self._take(route, level, window, only_new)
+            self._test_window(route, level, window, only_new)
 
-    def _take(self, route: int, level: int, window: _Window, alone: bool) -> None:
+    def _test_window(
+        self, route: int, level: int, window: _Window, only_new: bool
+    ) -> None:
         for metric in Metric:
-            whole = self._test(StreamKey(route, metric, EVERY_LEVEL))
-            if alone:
+            all_levels_test = self._test(StreamKey(route, metric, ALL_LEVELS))
+            if only_new:
                 history = self._history.setdefault(
                     (route, metric), HistoryTest(self._tolerance[metric])
                 )
-                history.observe(whole.old_rate, window.new.of(metric))
+                history.observe(
+                    all_levels_test.old_rate, window.new.observations(metric)
+                )
                 continue
-            old, new = window.old.of(metric), window.new.of(metric)
-            whole.observe(old, new)
+            old, new = window.old.observations(metric), window.new.observations(metric)
+            all_levels_test.observe(old, new)
             self._test(StreamKey(route, metric, level)).observe(old, new)
 
     def _test(self, key: StreamKey) -> SequentialTest:
@@ -171,16 +176,18 @@
         return test
 
     def streams(self) -> Streams:
-        """Return the logarithms of the e-process of each test, by component."""
+        """Return the logarithm of each component of the e-process of each test."""
         return {key: test.log_values for key, test in self._tests.items()}
 
     @property
-    def suspicious(self) -> bool:
-        """Whether a release that runs alone fails more than the old one did."""
-        return any(test.log_value > SUSPICION for test in self._history.values())
-
-    def forget_suspicion(self) -> None:
-        """Begin anew to compare with the past."""
+    def degraded(self) -> bool:
+        """Whether the new release, running alone, fails more than the old one did."""
+        return any(
+            test.log_value > DEGRADED_LOG_THRESHOLD for test in self._history.values()
+        )
+
+    def reset_history(self) -> None:
+        """Restart the comparison with the old release's past failure rate."""
         self._history.clear()
 
 
@@ -189,22 +196,23 @@
     merged: Streams = {}
     for part in parts:
         for key, values in part.items():
-            held = merged.get(key, (0.0,) * len(values))
-            merged[key] = tuple(a + b for a, b in zip(held, values, strict=True))
+            existing = merged.get(key, (0.0,) * len(values))
+            merged[key] = tuple(a + b for a, b in zip(existing, values, strict=True))
     return merged
 
 
 def log_e_value(streams: Mapping[StreamKey, tuple[float, ...]]) -> float:
     """Return the logarithm of one e-process for a whole move.
 
-    It is the mean of three means: over the routes taken together, over each route by
-    itself, and over each load level of a route, so that a fault shows whether it is
-    everywhere, on one route, or only under load. A mean of e-processes is one.
+    It is the mean of three means: over all routes pooled, over the individual routes,
+    and over the load levels of each route. A fault is therefore detected whether it
+    affects every route, one route, or only requests under load. A mean of e-processes
+    is itself an e-process.
     """
     if not streams:
         return 0.0
-    routes = [v for key, v in streams.items() if key.level == EVERY_LEVEL]
-    levels = [v for key, v in streams.items() if key.level != EVERY_LEVEL]
+    routes = [v for key, v in streams.items() if key.level == ALL_LEVELS]
+    levels = [v for key, v in streams.items() if key.level != ALL_LEVELS]
     pooled = [_product(streams, metric) for metric in Metric]
     groups = [group for group in (pooled, routes, levels) if group]
     return log_mean_exp(
@@ -215,16 +223,18 @@
 def _product(
     streams: Mapping[StreamKey, tuple[float, ...]], metric: Metric
 ) -> tuple[float, ...]:
-    chosen = [
+    all_level_values = [
         values
         for key, values in streams.items()
-        if key.metric == metric and key.level == EVERY_LEVEL
+        if key.metric == metric and key.level == ALL_LEVELS
     ]
-    return tuple(sum(column) for column in zip(*chosen, strict=True)) or (0.0,)
+    return tuple(sum(column) for column in zip(*all_level_values, strict=True)) or (
+        0.0,
+    )
 
 
 def worst_stream(streams: Mapping[StreamKey, tuple[float, ...]]) -> StreamKey | None:
-    """Return the test with the most evidence, to name it in a reason."""
+    """Return the key of the test with the most evidence, or None without tests."""
     if not streams:
         return None
     return max(streams, key=lambda key: log_mean_exp(streams[key]))
--- a/marigoldchute/moves/judge.py
+++ b/marigoldchute/moves/judge.py
@@ -1,4 +1,4 @@
-"""When a move is done and when it is taken back, as pure functions."""
+"""Decides, with pure functions, whether a move is done or taken back."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Decision:
-    """A verdict that may be written.
+    """Verdict that a driver may write.
 
     Parameters
     ----------
     kind : VerdictKind
         Outcome.
     reason : str
-        Short sentence.
+        Short explanation for operators.
     confirmed : int
-        Members known to have confirmed.
+        Number of members known to have confirmed.
     """
 
     kind: VerdictKind
@@ -36,7 +36,7 @@
 
 
 def members_digest(members: Iterable[tuple[str, int]]) -> int:
-    """Return a digest of names and incarnations that does not depend on their order."""
+    """Return an order-independent digest of member names and incarnations."""
     digest = 0
     for name, incarnation in members:
         text = f"{name}/{incarnation}".encode()
@@ -51,19 +51,19 @@
     return any(m.move_id == move_id and m.confirmed for m in report.moves)
 
 
-def stand_of_centre(
+def confirmation_digest(
     move_id: str, members: Iterable[Member], reports: Mapping[str, MemberReport]
 ) -> Stand:
-    """Return which members of a data centre have confirmed a move.
+    """Return digests of the members of a data centre that have confirmed a move.
 
     Parameters
     ----------
     move_id : str
-        Move.
+        Move id.
     members : iterable of Member
         Members of the data centre that are not gone.
     reports : mapping of str to MemberReport
-        Last report of each member.
+        Latest report of each member.
     """
     known = [(member.name, member.incarnation) for member in members]
     confirmed = [
@@ -76,58 +76,59 @@
     )
 
 
-def judge(
+def decide_verdict(
     move: Move,
     fault: Fault | None,
     members: Iterable[Member],
-    stands: Mapping[str, Stand],
+    digests: Mapping[str, Stand],
     now_ms: int,
     clock_error_ms: int,
 ) -> Decision | None:
-    """Return the verdict that may be written now, if any.
+    """Return the verdict that may be written now, or None.
 
-    *Done* needs that in every data centre the collector and this driver know the same
-    members in the same incarnations, and that all of them have confirmed. A member
+    *Done* requires that, in every data centre, the collector and this driver know the
+    same members in the same incarnations, and that all of them have confirmed. A member
     confirms only while its clock plus the clock error is before the deadline, and it
-    holds the full share until it learns the verdict, so *done* stays true however late
-    it is written.
+    keeps the full share until it receives the verdict. *Done* therefore stays true
+    however late it is written.
 
     Parameters
     ----------
     move : Move
         Move to decide.
     fault : Fault, optional
-        Known fault of the new release.
+        Published fault of the new release.
     members : iterable of Member
         Members that are not gone, unreachable ones included.
-    stands : mapping of str to Stand
-        Last stand of each data centre.
+    digests : mapping of str to Stand
+        Latest confirmation digest of each data centre.
     now_ms : int
         Wall-clock time in milliseconds since the epoch.
     clock_error_ms : int
-        Greatest difference between a clock and true time.
+        Maximum difference between a clock and true time.
     """
-    by_centre: dict[str, list[tuple[str, int]]] = {}
+    by_data_centre: dict[str, list[tuple[str, int]]] = {}
     for member in members:
-        by_centre.setdefault(member.data_centre, []).append(
+        by_data_centre.setdefault(member.data_centre, []).append(
             (member.name, member.incarnation)
         )
-    total = sum(len(known) for known in by_centre.values())
-    confirmed = sum(stands[name].count for name in by_centre if name in stands)
+    total = sum(len(known) for known in by_data_centre.values())
+    confirmed = sum(digests[name].count for name in by_data_centre if name in digests)
     if fault is not None:
         return Decision(VerdictKind.TAKEN_BACK, f"fault: {fault.reason}", confirmed)
-    if by_centre and all(
-        _all_confirmed(stands.get(centre), known) for centre, known in by_centre.items()
+    if by_data_centre and all(
+        _all_confirmed(digests.get(data_centre), known)
+        for data_centre, known in by_data_centre.items()
     ):
         return Decision(VerdictKind.DONE, "all members confirmed", confirmed)
     if now_ms > move.deadline_ms + clock_error_ms:
-        missing = max(total - confirmed, 1)
-        reason = f"{missing} members unconfirmed at the deadline"
+        unconfirmed = max(total - confirmed, 1)
+        reason = f"{unconfirmed} members unconfirmed at the deadline"
         return Decision(VerdictKind.TAKEN_BACK, reason, confirmed)
     return None
 
 
-def _all_confirmed(stand: Stand | None, known: list[tuple[str, int]]) -> bool:
-    if stand is None:
+def _all_confirmed(digest: Stand | None, known: list[tuple[str, int]]) -> bool:
+    if digest is None:
         return False
-    return stand.members == stand.confirmed == members_digest(known)
+    return digest.members == digest.confirmed == members_digest(known)
--- a/marigoldchute/moves/model.py
+++ b/marigoldchute/moves/model.py
@@ -1,4 +1,4 @@
-"""Messages and state of moves."""
+"""Messages and data model of moves."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-LOG_UNIT = 0.01
+LOG_RESOLUTION = 0.01
 
 
 class VerdictKind(enum.StrEnum):
@@ -20,22 +20,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class Verdict:
-    """The one decision about a move, written once to the store.
+    """Final decision about a move, written to the store exactly once.
 
     Parameters
     ----------
     move_id : str
-        Move that is decided.
+        Id of the decided move.
     kind : VerdictKind
         Outcome.
     reason : str
-        Short sentence.
+        Short explanation for operators.
     author : str
         Node or operator who wrote it.
     at_ms : int
         Wall-clock time of the writer in milliseconds since the epoch.
     token : str
-        Unique token by which the writer recognises its own write.
+        Unique token by which the writer identifies its own write.
     members : int
         Number of members that had confirmed when it was written.
     """
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """A fault of a new release; once known it is never forgotten."""
+    """Fault of a new release; it is never withdrawn once published."""
 
     move_id: str
     node: str
@@ -60,12 +60,13 @@
 
 
 class Stage(enum.IntEnum):
-    """Where one member stands in one move.
+    """Stage of one member in one move.
 
-    ``ROLLING`` follows the steps. ``CONFIRMED`` has promised the full share until the
-    verdict. ``RETURNED`` fell back to share 0 at the deadline without having confirmed,
-    which rules *done* out. ``UNDECIDED`` joined too late to know whether it was counted
-    and looks for the verdict. ``DECIDED`` knows it.
+    ``ROLLING``: the member follows the steps. ``CONFIRMED``: it keeps the full share
+    until the verdict. ``RETURNED``: it went back to share 0 at the deadline without
+    having confirmed, which rules out *done*. ``UNDECIDED``: the deadline has passed and
+    the member joined too late to know whether a driver counted it, so it follows its
+    peers until the verdict. ``DECIDED``: it has received the verdict.
     """
 
     ROLLING = 0
@@ -76,7 +77,7 @@
 
 
 class CellReport(msgspec.Struct, frozen=True, array_like=True):
-    """Cumulative counts of one cell of evidence on one member."""
+    """Cumulative counts of one evidence cell on one member."""
 
     route: int
     new: bool
@@ -85,28 +86,29 @@
 
 
 class MoveReport(msgspec.Struct, frozen=True, array_like=True):
-    """Where one member stands in one move.
+    """State and counts of one member for one move.
 
     Parameters
     ----------
     move_id : str
-        Move.
+        Move id.
     share : float
-        Share of requests for the new release in force on the member.
+        Share of requests that the member sends to the new release.
     confirmed : bool
-        Whether the member has confirmed the full share, which it then holds until
-        it learns the verdict.
+        Whether the member has confirmed the full share, which it then keeps until
+        it receives the verdict.
     stage : int
-        A ``Stage``.
+        Value of ``Stage``.
     step : int
         Index of the step in force, -1 before the start.
-    busy : float
-        Mean number of the member's requests that run at a time.
+    concurrency : float
+        Mean number of concurrent requests of the member.
     cells : tuple of CellReport
-        Its counts, cumulative in its incarnation.
+        Counts of the member, cumulative within its incarnation.
     latencies : dict of int to dict of int to int
-        Histogram of the old release's latencies by route, in some reports only.
-    late : bool
+        Latency histogram of the old release by route. Large histograms are only in
+        some of the reports.
+    joined_late : bool
         Whether the member joined so late that a driver may not have counted it.
     """
 
@@ -115,27 +117,27 @@
     confirmed: bool
     stage: int = Stage.ROLLING
     step: int = -1
-    busy: float = 0.0
+    concurrency: float = 0.0
     cells: tuple[CellReport, ...] = ()
     latencies: dict[int, dict[int, int]] = {}
-    late: bool = False
+    joined_late: bool = False
 
 
 class MemberReport(msgspec.Struct, frozen=True, array_like=True):
-    """What one member tells the collector of its data centre.
+    """Report of one member to the collector of its data centre.
 
     Parameters
     ----------
     name : str
-        Member.
+        Member name.
     incarnation : int
-        Start of its process.
+        Incarnation of the member (start time of its process).
     sequence : int
-        Rises with each report of an incarnation.
+        Sequence number, increasing with each report of an incarnation.
     version : int
         Bundle version in force.
     moves : tuple of MoveReport
-        Its moves.
+        State and counts for each move.
     """
 
     name: str
@@ -146,16 +148,16 @@
 
 
 class Stand(msgspec.Struct, frozen=True, array_like=True):
-    """Which members of a data centre have confirmed a move, as its collector knows.
+    """Digest of the members of a data centre that have confirmed a move.
 
     Parameters
     ----------
     move_id : str
-        Move.
+        Move id.
     members : int
         Digest of the names and incarnations of the data centre's members.
     confirmed : int
-        Digest of those that have confirmed; equal when every member has.
+        Digest of the members that have confirmed; equal to ``members`` when all have.
     count : int
         Number of members that have confirmed.
     """
@@ -167,12 +169,12 @@
 
 
 class StreamReport(msgspec.Struct, frozen=True, array_like=True):
-    """E-process of one sequential test; logarithms in units of ``LOG_UNIT``."""
+    """E-process of one test, as logarithms in units of ``LOG_RESOLUTION``."""
 
     route: int
     metric: int
     level: int
-    logs: tuple[int, ...]
+    log_values: tuple[int, ...]
 
 
 class MoveSummary(msgspec.Struct, frozen=True, array_like=True):
@@ -181,57 +183,58 @@
     Parameters
     ----------
     move_id : str
-        Move.
-    answered : int
-        Answers of the new release so far.
-    busy : float
-        Mean number of requests that run at a time.
-    suspicious : bool
-        Whether the new release alone fails more than the old one did.
+        Move id.
+    outcomes : int
+        Number of outcomes of the new release so far.
+    concurrency : float
+        Mean number of concurrent requests.
+    degraded : bool
+        Whether the new release, running alone, fails more than the old one did.
     streams : tuple of StreamReport
-        E-processes.
+        E-process of each test.
     p95_ms : dict of int to float
         95th percentile of the old release's latency by route, in milliseconds.
     """
 
     move_id: str
-    answered: int
-    busy: float
-    suspicious: bool
+    outcomes: int
+    concurrency: float
+    degraded: bool
     streams: tuple[StreamReport, ...]
     p95_ms: dict[int, float]
 
 
 class Guidance(msgspec.Struct, frozen=True, array_like=True):
-    """What a collector answers a member's report with, for one move.
+    """Response of a collector to a member's report, for one move.
 
     Parameters
     ----------
     move_id : str
-        Move.
+        Move id.
     step : int
-        Lowest step in force among the data centre's members that are not late, -1 when
-        none has begun.
-    answered : int
-        Answers of the new release so far, all data centres that answer.
-    busy : float
-        Mean number of requests that run at a time, all data centres that answer.
-    wary : bool
-        Whether the evidence speaks against a further step for now.
-    suspicious : bool
-        Whether the new release alone fails more than the old one did.
+        Lowest step in force among the members of the data centre that did not join
+        late, -1 when none of them has started.
+    outcomes : int
+        Number of outcomes of the new release so far, over all reachable data centres.
+    concurrency : float
+        Mean number of concurrent requests, over all reachable data centres.
+    suspected : bool
+        Whether evidence against the new release delays the next step and the
+        confirmation.
+    degraded : bool
+        Whether the new release, running alone, fails more than the old one did.
     confirmed, returned : int
-        Members of the data centre in those stages.
+        Number of members of the data centre in each of these stages.
     p95_ms : dict of int to float
         95th percentile of the old release's latency by route, in milliseconds.
     """
 
     move_id: str
     step: int = -1
-    answered: int = 0
-    busy: float = 0.0
-    wary: bool = False
-    suspicious: bool = False
+    outcomes: int = 0
+    concurrency: float = 0.0
+    suspected: bool = False
+    degraded: bool = False
     confirmed: int = 0
     returned: int = 0
     p95_ms: dict[int, float] = {}
@@ -239,16 +242,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Split:
-    """How the requests of a service divide between two releases now.
+    """Current split of a service's requests between two releases.
 
     Parameters
     ----------
     old_release, new_release : str
-        Releases; equal when no move is under way.
+        Both releases; equal when no move is in progress.
     share : float
-        Share for the new release, 0 to 1.
+        Share of the new release, 0 to 1.
     move_id : str
-        Move that decides the share; empty when there is none.
+        Id of the move that sets the share; empty when there is none.
     """
 
     old_release: str
@@ -258,20 +261,20 @@
 
 
 class SplitSource(Protocol):
-    """Says how the requests of each service divide between its releases."""
+    """Provides the current split of each service's requests."""
 
     def split(self, service: str, release: str) -> Split:
-        """Return how the requests of a service divide now.
+        """Return the current split of a service's requests between releases.
 
         Parameters
         ----------
         service : str
             Service name.
         release : str
-            Release that the bundle names; empty when it names none.
+            Release given in the bundle; empty when it gives none.
 
         Raises
         ------
         NotRunError
-            It is not known which release may run the requests.
+            It is unknown which release may run the requests.
         """
--- a/marigoldchute/moves/recorder.py
+++ b/marigoldchute/moves/recorder.py
@@ -1,4 +1,4 @@
-"""Counts the outcomes of this node's requests for the moves under way."""
+"""Records the outcomes of this node's requests for the moves in progress."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 SLOW_PERCENTILE = 0.95
 MIN_LATENCIES = 20
-BUSY_WINDOW_MS = 2000
+CONCURRENCY_WINDOW_MS = 2000
 
-_ANSWER = Counts(answered=1)
-_ERROR = Counts(answered=1, errors=1)
+_SUCCESS = Counts(outcomes=1)
+_ERROR = Counts(outcomes=1, errors=1)
 
 
 class MoveRecorder:
-    """Counts of one move on this node, cumulative since the bundle came in force.
+    """Counts the outcomes of one move on this node since its bundle came in force.
 
     Parameters
     ----------
     move : Move
-        Move under way.
+        Move in progress.
     routes : tuple of str
-        Sorted names of the routes of its service.
+        Sorted names of the routes of the move's service.
     """
 
     def __init__(self, move: Move, routes: tuple[str, ...]) -> None:
@@ -35,7 +35,7 @@
         self.routes = routes
         self.cells: dict[CellKey, Counts] = {}
         self.latencies: dict[int, LatencyHistogram] = {}
-        self.shared_p95_ms: dict[int, float] = {}
+        self.collector_p95_ms: dict[int, float] = {}
 
     def record(
         self,
@@ -45,20 +45,23 @@
         latency_ms: float,
         load_level: int,
     ) -> None:
-        """Count one outcome that says something about a release.
+        """Record one outcome if it is evidence about a release.
 
-        Shed load and other refusals ran nothing. A request that its caller cancelled
-        counts only when it was slow by then. An unknown outcome is an error.
+        Shed and refused requests are not counted, because they did not run. A request
+        cancelled by its caller counts only if it was already slow. An unknown outcome
+        counts as an error.
         """
         index = self.routes.index(route)
-        counts = self._judge(index, outcome, latency_ms)
+        counts = self._classify(index, outcome, latency_ms)
         if counts is not None:
             key = CellKey(index, new, load_level)
             self.cells[key] = self.cells.get(key, Counts()).plus(counts)
         if outcome is Outcome.OK and not new:
             self.latencies.setdefault(index, LatencyHistogram()).add(latency_ms)
 
-    def _judge(self, route: int, outcome: Outcome, latency_ms: float) -> Counts | None:
+    def _classify(
+        self, route: int, outcome: Outcome, latency_ms: float
+    ) -> Counts | None:
         limit_ms = self.slow_limit_ms(route)
         slow = limit_ms is not None and latency_ms > limit_ms
         if outcome in (Outcome.ERROR, Outcome.UNKNOWN, Outcome.OVERDUE):
@@ -68,53 +71,53 @@
         if outcome is not Outcome.OK:
             return None
         if limit_ms is None:
-            return _ANSWER
-        return Counts(answered=1, timed=1, slow=int(slow))
+            return _SUCCESS
+        return Counts(outcomes=1, timed=1, slow=int(slow))
 
     def slow_limit_ms(self, route: int) -> float | None:
-        """Return the latency above which an answer is slow; None if not yet known."""
+        """Return the latency above which a response is slow; None until it is known."""
         ratio = self.move.thresholds.slow_ratio
-        own = self.latencies.get(route)
-        if own is not None and own.total >= MIN_LATENCIES:
-            return ratio * own.percentile(SLOW_PERCENTILE)
-        shared_ms = self.shared_p95_ms.get(route)
+        histogram = self.latencies.get(route)
+        if histogram is not None and histogram.total >= MIN_LATENCIES:
+            return ratio * histogram.percentile(SLOW_PERCENTILE)
+        shared_ms = self.collector_p95_ms.get(route)
         return None if shared_ms is None else ratio * shared_ms
 
 
 class ServiceLoad:
-    """Mean number of a service's requests of this node that run at a time."""
+    """Mean number of concurrent requests of one service on this node."""
 
     def __init__(self) -> None:
-        self.busy = 0.0
-        self._busy_ms = 0.0
+        self.concurrency = 0.0
+        self._request_ms = 0.0
         self._since_ms = 0
 
     def add(self, latency_ms: float) -> None:
-        """Take the latency of a finished request."""
-        self._busy_ms += latency_ms
+        """Add the latency of a finished request."""
+        self._request_ms += latency_ms
 
     def measure(self, now_ms: int) -> None:
-        """Bring ``busy`` up to date once in ``BUSY_WINDOW_MS``."""
+        """Update ``concurrency`` once per ``CONCURRENCY_WINDOW_MS``."""
         elapsed_ms = now_ms - self._since_ms
-        if elapsed_ms < BUSY_WINDOW_MS:
+        if elapsed_ms < CONCURRENCY_WINDOW_MS:
             return
         if self._since_ms:
-            self.busy = self._busy_ms / elapsed_ms
-        self._busy_ms = 0.0
+            self.concurrency = self._request_ms / elapsed_ms
+        self._request_ms = 0.0
         self._since_ms = now_ms
 
 
 class EvidenceRecorder:
-    """Outcome sink that keeps a ``MoveRecorder`` for each move."""
+    """Outcome sink with a ``MoveRecorder`` for each move."""
 
     def __init__(self) -> None:
         self._by_move: dict[str, MoveRecorder] = {}
         self._by_service: dict[str, MoveRecorder] = {}
         self._loads: dict[str, ServiceLoad] = {}
 
-    def take_bundle(self, bundle: Bundle) -> None:
-        """Begin to count for the moves of a bundle; keep the counts of those held."""
-        held = self._by_move
+    def apply_bundle(self, bundle: Bundle) -> None:
+        """Create recorders for new moves of a bundle; keep those of existing moves."""
+        existing = self._by_move
         self._by_move = {}
         for move in bundle.content.moves:
             names = sorted(
@@ -122,24 +125,24 @@
                 for route in bundle.content.routes
                 if route.service == move.service
             )
-            recorder = held.get(move.move_id)
+            recorder = existing.get(move.move_id)
             if recorder is None or recorder.routes != tuple(names):
                 recorder = MoveRecorder(move, tuple(names))
             self._by_move[move.move_id] = recorder
         self._by_service = {r.move.service: r for r in self._by_move.values()}
 
-    def busy_of(self, service: str) -> float:
-        """Return the mean number of a service's requests that run at a time."""
+    def concurrency_of(self, service: str) -> float:
+        """Return the mean number of concurrent requests of a service."""
         load = self._loads.get(service)
-        return 0.0 if load is None else load.busy
+        return 0.0 if load is None else load.concurrency
 
-    def measure_busy(self, now_ms: int) -> None:
-        """Bring the load of every service up to date."""
+    def update_concurrency(self, now_ms: int) -> None:
+        """Update the mean concurrency of every service."""
         for load in self._loads.values():
             load.measure(now_ms)
 
-    def of_move(self, move_id: str) -> MoveRecorder | None:
-        """Return the counts of a move."""
+    def move_recorder(self, move_id: str) -> MoveRecorder | None:
+        """Return the recorder of a move."""
         return self._by_move.get(move_id)
 
     def record(
@@ -154,7 +157,7 @@
         cold: bool,
         now_ms: int,
     ) -> None:
-        """Count one outcome unless its backend server was in its cold start."""
+        """Record one outcome unless its backend server was in its cold start."""
         self._loads.setdefault(service, ServiceLoad()).add(latency_ms)
         recorder = self._by_service.get(service)
         if recorder is None or cold or route not in recorder.routes:
--- a/marigoldchute/moves/reporter.py
+++ b/marigoldchute/moves/reporter.py
@@ -1,4 +1,4 @@
-"""Carries reports, guidance and summaries between members and collectors."""
+"""Exchanges reports, guidance and summaries between members and collectors."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
 
 REPORT_INTERVAL_S = 1.0
 REPORTS_PER_S = 12.0
-MAX_SPREAD_S = 1.0
-REFRESH_S = 10.0
+MAX_JITTER_S = 1.0
+UNCHANGED_REPORT_INTERVAL_S = 10.0
 MERGE_INTERVAL_S = 0.5
 EXCHANGE_INTERVAL_S = 1.0
 EXCHANGE_PER_CENTRE_S = 0.3
 CALL_TIMEOUT_S = 2.0
-RETRY_S = 0.1
+RETRY_DELAY_S = 0.1
 LATENCIES_EVERY = 8
 
 _REPORTS = msgspec.msgpack.Decoder(list[MemberReport])
 _GUIDANCE = msgspec.msgpack.Decoder(list[Guidance])
-_STANDS = msgspec.msgpack.Decoder(list[Stand])
+_CONFIRMATION_DIGESTS = msgspec.msgpack.Decoder(list[Stand])
 _SUMMARIES = msgspec.msgpack.Decoder(list[MoveSummary])
 
 
 class Reporter:
-    """Sends this node's reports to its collector and reads those of the others."""
+    """Sends this node's reports to its collector and fetches data from collectors."""
 
     def __init__(
         self,
@@ -63,17 +63,17 @@
         self._rng = rng
         self._changed = trio.Event()
         self._sequence = 0
-        self._last: tuple[str, int, tuple[MoveReport, ...]] | None = None
-        self._last_at = 0.0
-        self._stands: dict[str, dict[str, Stand]] = {}
+        self._last_state: tuple[str, int, tuple[MoveReport, ...]] | None = None
+        self._last_report_at = 0.0
+        self._digests: dict[str, dict[str, Stand]] = {}
         in_force.on_swap(lambda bundle: self.wake())
 
     def wake(self) -> None:
-        """Report soon, because something changed."""
+        """Request an early report because the state of a move changed."""
         self._changed.set()
 
     async def run(self) -> None:
-        """Report and collect until cancelled."""
+        """Send reports and run the collector's tasks until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._report_changes)
             nursery.start_soon(self._merge_reports)
@@ -81,64 +81,69 @@
 
     @property
     def interval_s(self) -> float:
-        """Seconds between reports; grows with the data centre's size.
+        """Report interval in seconds, which grows with the size of the data centre.
 
-        A collector takes ``REPORTS_PER_S`` at most, whatever the number of members.
+        It keeps a collector at no more than ``REPORTS_PER_S``, whatever the number of
+        members.
         """
-        home = self._membership.local.data_centre
-        size = sum(m.data_centre == home for m in self._membership.all())
-        return max(REPORT_INTERVAL_S, size / REPORTS_PER_S)
+        data_centre = self._membership.local.data_centre
+        member_count = sum(m.data_centre == data_centre for m in self._membership.all())
+        return max(REPORT_INTERVAL_S, member_count / REPORTS_PER_S)
 
     async def _report_changes(self) -> None:
         counts_due_at = 0.0
         while True:
             self._changed = trio.Event()
             now, interval_s = trio.current_time(), self.interval_s
-            with_counts = now >= counts_due_at
-            if with_counts:
+            include_counts = now >= counts_due_at
+            if include_counts:
                 counts_due_at = now + interval_s * self._rng.uniform(0.8, 1.2)
-            if not await self._report(with_counts):
+            if not await self._report(include_counts):
                 counts_due_at = 0.0
             with trio.move_on_at(counts_due_at):
                 await self._changed.wait()
-                spread_s = min(interval_s - REPORT_INTERVAL_S, MAX_SPREAD_S)
-                await trio.sleep(self._rng.uniform(0.0, spread_s))
+                jitter_s = min(interval_s - REPORT_INTERVAL_S, MAX_JITTER_S)
+                await trio.sleep(self._rng.uniform(0.0, jitter_s))
 
-    async def _report(self, with_counts: bool) -> bool:
+    async def _report(self, include_counts: bool) -> bool:
         local = self._membership.local
         target = self._membership.duties.holder(COLLECTOR, local.data_centre)
         if target is None:
             return True
         moves = self._engine.reports(self._sequence % LATENCIES_EVERY == 0)
-        if not with_counts:
+        if not include_counts:
             moves = tuple(_without_counts(move) for move in moves)
         state = (target, self._in_force.version, moves)
         now = trio.current_time()
         undecided = any(s.verdict is None for s in self._engine.states())
-        if state == self._last and now - self._last_at < REFRESH_S and not undecided:
+        if (
+            state == self._last_state
+            and now - self._last_report_at < UNCHANGED_REPORT_INTERVAL_S
+            and not undecided
+        ):
             return True
         self._sequence += 1
         report = MemberReport(
             local.name, local.incarnation, self._sequence, state[1], moves
         )
-        self._collector.take(report, self._clock.now_ms())
+        self._collector.apply_report(report, self._clock.now_ms())
         if target == local.name:
-            self._engine.guide(self._collector.guidance())
+            self._engine.apply_guidance(self._collector.guidance())
         elif not await self._send(target, report):
             return False
-        self._last, self._last_at = state, now
+        self._last_state, self._last_report_at = state, now
         return True
 
     async def _send(self, target: str, report: MemberReport) -> bool:
         body = msgspec.msgpack.encode(report)
         try:
-            reply = await self._control.call(
+            response = await self._control.call(
                 target, Method.REPORT_EVIDENCE, body, CALL_TIMEOUT_S
             )
         except (PeerError, AuthError):
-            await trio.sleep(RETRY_S)
+            await trio.sleep(RETRY_DELAY_S)
             return False
-        self._engine.guide(_GUIDANCE.decode(reply))
+        self._engine.apply_guidance(_GUIDANCE.decode(response))
         return True
 
     @property
@@ -154,20 +159,20 @@
 
     async def _exchange_summaries(self) -> None:
         while True:
-            centres = len({m.data_centre for m in self._membership.all()})
-            interval_s = max(EXCHANGE_INTERVAL_S, centres * EXCHANGE_PER_CENTRE_S)
+            data_centres = len({m.data_centre for m in self._membership.all()})
+            interval_s = max(EXCHANGE_INTERVAL_S, data_centres * EXCHANGE_PER_CENTRE_S)
             await trio.sleep(interval_s)
             undecided = any(s.verdict is None for s in self._engine.states())
             if undecided and self._is_collector:
-                await self._ask_collectors(self._read_summaries)
+                await self._call_collectors(self._fetch_summaries)
 
-    async def _ask_collectors(self, ask: Callable[..., object]) -> None:
+    async def _call_collectors(self, fetch: Callable[..., object]) -> None:
         members = self._membership.all()
         async with trio.open_nursery() as nursery:
-            for centre in {member.data_centre for member in members}:
-                target = self._membership.duties.holder(COLLECTOR, centre)
+            for data_centre in {member.data_centre for member in members}:
+                target = self._membership.duties.holder(COLLECTOR, data_centre)
                 if target is not None:
-                    nursery.start_soon(ask, centre, target)  # type: ignore[arg-type]
+                    nursery.start_soon(fetch, data_centre, target)  # type: ignore[arg-type]
 
     async def _call(self, target: str, method: Method) -> bytes | None:
         with trio.move_on_after(CALL_TIMEOUT_S):
@@ -177,49 +182,49 @@
                 return None
         return None
 
-    async def _read_summaries(self, centre: str, target: str) -> None:
+    async def _fetch_summaries(self, data_centre: str, target: str) -> None:
         if target == self._membership.local.name:
             return
         body = await self._call(target, Method.LIST_SUMMARIES)
         if body is not None:
-            self._collector.take_summaries(centre, _SUMMARIES.decode(body))
+            self._collector.apply_summaries(data_centre, _SUMMARIES.decode(body))
 
-    async def gather_stands(self) -> dict[str, dict[str, Stand]]:
-        """Return the last stand of each data centre by move.
+    async def gather_confirmations(self) -> dict[str, dict[str, Stand]]:
+        """Return the latest confirmation digest of each data centre, by move.
 
-        A confirmation is a promise, so the stand of a data centre that does not answer
-        any more still holds.
+        Confirmations are never withdrawn, so the digest of a data centre that no longer
+        responds stays valid.
         """
-        await self._ask_collectors(self._read_stands)
-        return self._stands
+        await self._call_collectors(self._fetch_confirmations)
+        return self._digests
 
-    async def _read_stands(self, centre: str, target: str) -> None:
+    async def _fetch_confirmations(self, data_centre: str, target: str) -> None:
         if target == self._membership.local.name:
-            stands = self._collector.stands()
+            digests = self._collector.confirmation_digests()
         else:
             body = await self._call(target, Method.LIST_STANDS)
             if body is None:
                 return
-            stands = _STANDS.decode(body)
-        for stand in stands:
-            self._stands.setdefault(stand.move_id, {})[centre] = stand
+            digests = _CONFIRMATION_DIGESTS.decode(body)
+        for digest in digests:
+            self._digests.setdefault(digest.move_id, {})[data_centre] = digest
 
     async def gather(self) -> dict[str, MemberReport]:
-        """Return the last reports of all data centres that answer, by member."""
+        """Return the latest reports of all reachable data centres, by member."""
         gathered: dict[str, MemberReport] = {}
 
-        async def read(centre: str, target: str) -> None:
+        async def fetch(data_centre: str, target: str) -> None:
             if target == self._membership.local.name:
                 reports = self._collector.reports()
             else:
                 body = await self._call(target, Method.LIST_CONFIRMATIONS)
                 reports = [] if body is None else _REPORTS.decode(body)
             for report in reports:
-                held = gathered.get(report.name)
-                if held is None or _order(held) < _order(report):
+                existing = gathered.get(report.name)
+                if existing is None or _report_order(existing) < _report_order(report):
                     gathered[report.name] = report
 
-        await self._ask_collectors(read)
+        await self._call_collectors(fetch)
         return gathered
 
 
@@ -227,5 +232,5 @@
     return msgspec.structs.replace(move, cells=(), latencies={})
 
 
-def _order(report: MemberReport) -> tuple[int, int]:
+def _report_order(report: MemberReport) -> tuple[int, int]:
     return report.incarnation, report.sequence
--- a/marigoldchute/moves/sequential.py
+++ b/marigoldchute/moves/sequential.py
@@ -3,13 +3,13 @@
 The statistic is an e-process: a non-negative process whose expectation, at any stopping
 time, is at most 1 as long as the new release is no worse than tolerated. By Ville's
 inequality it exceeds ``1 / alpha`` with a probability of at most ``alpha``, however
-often it is looked at.
+often it is evaluated.
 
 Each window of counts is one block of two Bernoulli streams. The factor of a block is
 the likelihood ratio of an alternative, fixed before the block, to its reverse
 information projection onto the null hypothesis ``p_new <= p_old + tolerance``. The null
 is convex, so the projection is one point and the ratio is an e-variable whatever the
-common level of failures in the window: Turner, Ly and Gruenwald, "Generic e-variables
+common failure rate in the window is: Turner, Ly and Gruenwald, "Generic e-variables
 for exact sequential k-sample tests" (2024), and Turner and Gruenwald, "Exact
 anytime-valid confidence intervals for contingency tables and beyond" (2023).
 """
@@ -30,10 +30,10 @@
 PROJECTION_STEPS = 24
 
 
-def project(
+def project_onto_null(
     old_count: int, new_count: int, old_rate: float, new_rate: float, tolerance: float
 ) -> tuple[float, float]:
-    """Return the nearest pair of rates that the null hypothesis allows.
+    """Return the closest pair of rates under the null hypothesis.
 
     Parameters
     ----------
@@ -42,12 +42,12 @@
     old_rate, new_rate : float
         Rates of the alternative, each in ``[MIN_RATE, MAX_RATE]``.
     tolerance : float
-        Greatest excess of the new rate that the null hypothesis allows.
+        Maximum excess of the new rate that the null hypothesis allows.
 
     Returns
     -------
     tuple of (float, float)
-        Old and new rate that minimise the Kullback-Leibler divergence of the block.
+        Old and new rates that minimise the Kullback-Leibler divergence of the block.
     """
     if new_rate <= old_rate + tolerance:
         return old_rate, new_rate
@@ -56,18 +56,18 @@
     if high <= low:
         return low, min(low + tolerance, 1.0 - MIN_RATE / 2)
     for _ in range(PROJECTION_STEPS):
-        middle = (low + high) / 2
-        slope = old_count * _divergence_slope(old_rate, middle)
-        slope += new_count * _divergence_slope(new_rate, middle + tolerance)
+        midpoint = (low + high) / 2
+        slope = old_count * _divergence_slope(old_rate, midpoint)
+        slope += new_count * _divergence_slope(new_rate, midpoint + tolerance)
         if slope < 0.0:
-            low = middle
+            low = midpoint
         else:
-            high = middle
+            high = midpoint
     return low, low + tolerance
 
 
-def _divergence_slope(rate: float, at: float) -> float:
-    return (1.0 - rate) / (1.0 - at) - rate / at
+def _divergence_slope(rate: float, point: float) -> float:
+    return (1.0 - rate) / (1.0 - point) - rate / point
 
 
 def log_factor(
@@ -82,13 +82,15 @@
     Parameters
     ----------
     old, new : sequence of int
-        Observations and failures of each release.
+        Numbers of observations and failures of each release.
     old_rate, new_rate : float
-        Rates of the alternative, fixed before the block was seen.
+        Rates of the alternative, fixed before the block was observed.
     tolerance : float
-        Greatest excess of the new rate that the null hypothesis allows.
+        Maximum excess of the new rate that the null hypothesis allows.
     """
-    null_old, null_new = project(old[0], new[0], old_rate, new_rate, tolerance)
+    null_old, null_new = project_onto_null(
+        old[0], new[0], old_rate, new_rate, tolerance
+    )
     return _log_ratio(old, old_rate, null_old) + _log_ratio(new, new_rate, null_new)
 
 
@@ -99,12 +101,12 @@
 
 
 class SequentialTest:
-    """E-process of one stream of blocks, one component for each size of excess.
+    """E-process of one stream of blocks, with one component per value of ``EXCESSES``.
 
     Parameters
     ----------
     tolerance : float
-        Greatest excess of the new release's failure rate that is tolerated.
+        Maximum tolerated excess of the new release's failure rate.
     """
 
     def __init__(self, tolerance: float) -> None:
@@ -112,46 +114,51 @@
         self._old_total = 0
         self._old_failures = 0
         self._log_values = [0.0] * len(EXCESSES)
-        self._log_greatest = [0.0] * len(EXCESSES)
+        self._max_log_factors = [0.0] * len(EXCESSES)
 
     @property
     def log_values(self) -> tuple[float, ...]:
-        """Logarithms of the components, each without its greatest factor.
+        """Logarithms of the components, each without its largest factor.
 
-        A backend server that dies takes its running requests with it, all in one
-        window, so one window alone must not convict a release. Leaving out a factor
-        above 1 only lowers the e-process.
+        When a backend server dies, all its running requests fail in one window, so a
+        single window must not be enough to declare a release faulty. Leaving out a
+        factor greater than 1 only lowers the e-process.
         """
-        pairs = zip(self._log_values, self._log_greatest, strict=True)
-        return tuple(value - greatest for value, greatest in pairs)
+        pairs = zip(self._log_values, self._max_log_factors, strict=True)
+        return tuple(value - max_factor for value, max_factor in pairs)
 
     @property
     def old_rate(self) -> float:
-        """Failure rate expected of the old release."""
+        """Expected failure rate of the old release."""
         failures = self._old_failures + PRIOR_COUNT * PRIOR_RATE
         rate = failures / (self._old_total + PRIOR_COUNT)
         return min(max(rate, MIN_RATE), MAX_RATE)
 
     def observe(self, old: Sequence[int], new: Sequence[int]) -> None:
-        """Take one block of observations and failures of each release."""
+        """Update the e-process with one block of observations and failures."""
         if old[0] and new[0]:
             old_rate = self.old_rate
             for index, excess in enumerate(EXCESSES):
                 new_rate = min(MAX_RATE, old_rate + self._tolerance + excess)
                 factor = log_factor(old, new, old_rate, new_rate, self._tolerance)
                 self._log_values[index] += factor
-                greatest = max(self._log_greatest[index], factor)
-                self._log_greatest[index] = greatest
+                max_factor = max(self._max_log_factors[index], factor)
+                self._max_log_factors[index] = max_factor
         self._old_total += old[0]
         self._old_failures += old[1]
 
 
 class HistoryTest:
-    """Suspicion against a release that runs alone, from the old one's past rate.
+    """Detects degradation of a release that runs alone, from the old one's past rate.
 
-    A cumulative sum that never falls below zero (Page, "Continuous inspection schemes",
-    1954). It convicts nobody, because what hurts the new release may hurt both: it only
-    says that a comparison side by side is wanted.
+    This is a cumulative sum that never falls below zero (Page, "Continuous inspection
+    schemes", 1954). It does not declare the release faulty, because the cause may
+    affect both releases; it only requests a side-by-side comparison.
+
+    Parameters
+    ----------
+    tolerance : float
+        Maximum tolerated excess of the new release's failure rate.
     """
 
     def __init__(self, tolerance: float) -> None:
@@ -160,11 +167,11 @@
 
     @property
     def log_value(self) -> float:
-        """Greatest of the cumulative sums."""
+        """Largest of the cumulative sums."""
         return max(self._sums)
 
     def observe(self, old_rate: float, new: Sequence[int]) -> None:
-        """Take observations and failures of the new release alone."""
+        """Update the sums with observations and failures of the new release."""
         null_rate = min(old_rate + self._tolerance, MAX_RATE)
         for index, excess in enumerate(EXCESSES):
             rate = min(MAX_RATE, null_rate + excess)
@@ -173,21 +180,21 @@
 
 
 def log_mean_exp(values: Iterable[float]) -> float:
-    """Return the logarithm of the mean of values given by their logarithms."""
-    listed = list(values)
-    top = max(listed)
-    total = sum(math.exp(value - top) for value in listed)
-    return top + math.log(total / len(listed))
+    """Return the logarithm of the mean of values given as logarithms."""
+    log_values = list(values)
+    max_value = max(log_values)
+    total = sum(math.exp(value - max_value) for value in log_values)
+    return max_value + math.log(total / len(log_values))
 
 
 def log_threshold(false_alarm: float, tests: int) -> float:
-    """Return the logarithm that an e-process must exceed to reject the null.
+    """Return the threshold for the logarithm of an e-process to reject the null.
 
     Parameters
     ----------
     false_alarm : float
-        Greatest probability of a false alarm of all tests together.
+        Maximum probability of a false alarm over all tests together.
     tests : int
-        Number of tests that share it.
+        Number of tests that share this probability.
     """
     return math.log(tests / false_alarm)
--- a/marigoldchute/moves/state.py
+++ b/marigoldchute/moves/state.py
@@ -1,4 +1,4 @@
-"""What one member knows of one move, and the share that follows from it."""
+"""State of one member in one move and the share that results from it."""
 
 from __future__ import annotations
 
@@ -7,41 +7,42 @@
 
 from marigoldchute.moves.capacity import Capacity
 from marigoldchute.moves.model import Guidance, Stage, VerdictKind
-from marigoldchute.moves.schedule import MIN_ANSWERS, Progress, due_step
+from marigoldchute.moves.schedule import MIN_OUTCOMES, Progress, due_step
 
 if TYPE_CHECKING:
     from marigoldchute.bundle.model import Move
     from marigoldchute.moves.model import Fault, Verdict
 
-PROBE_MS = 3000
+COMPARISON_MS = 3000
 
 
 @dataclasses.dataclass(frozen=True)
-class Surroundings:
-    """What a member knows beside the time.
+class MoveInputs:
+    """Inputs of ``MoveState.advance`` besides the time.
 
     Parameters
     ----------
     capacity : Capacity
-        Slots and load of both releases.
-    answered : int
-        Answers of the new release so far, as far as this member knows.
-    wary : bool
-        Whether the evidence speaks against a further step for now.
-    suspicious : bool
-        Whether the new release alone fails more than the old one did.
+        Slots and concurrency of both releases.
+    outcomes : int
+        Number of outcomes of the new release so far that this member knows of.
+    suspected : bool
+        Whether evidence against the new release delays the next step and the
+        confirmation.
+    degraded : bool
+        Whether the new release, running alone, fails more than the old one did.
     guidance : Guidance, optional
-        Last answer of the data centre's collector.
-    by_schedule : bool
-        Whether steps wait for no answers.
+        Latest guidance from the collector of the data centre.
+    schedule_only : bool
+        Whether steps follow the schedule without waiting for outcomes.
     """
 
     capacity: Capacity = Capacity(1, 1)
-    answered: int = 0
-    wary: bool = False
-    suspicious: bool = False
+    outcomes: int = 0
+    suspected: bool = False
+    degraded: bool = False
     guidance: Guidance | None = None
-    by_schedule: bool = False
+    schedule_only: bool = False
 
 
 class MoveState:
@@ -51,62 +52,65 @@
     ----------
     move : Move
         Move of the bundle in force.
-    late : bool
+    joined_late : bool
         Whether the member joined so late that a driver may not have counted it. Such
-        a member never falls back by itself at the deadline.
+        a member does not return to share 0 by itself at the deadline.
     """
 
-    def __init__(self, move: Move, late: bool = False) -> None:
+    def __init__(self, move: Move, joined_late: bool = False) -> None:
         self.move = move
-        self.late = late
+        self.joined_late = joined_late
         self.share = 0.0
         self.confirmed = False
         self.stage = Stage.ROLLING
-        self.full_since_ms: int | None = None
+        self.full_share_since_ms: int | None = None
         self.fault: Fault | None = None
         self.verdict: Verdict | None = None
         self.progress = Progress()
-        self._answered_before = 0
-        self._probe_until_ms = 0
+        self._outcomes_before_step = 0
+        self._comparison_until_ms = 0
 
     def advance(
-        self, now_ms: int, clock_error_ms: int, around: Surroundings = Surroundings()
+        self, now_ms: int, clock_error_ms: int, inputs: MoveInputs = MoveInputs()
     ) -> bool:
-        """Bring the share to what is allowed now.
+        """Update stage, share and confirmation for the current time.
 
         Parameters
         ----------
         now_ms : int
             Wall-clock time in milliseconds since the epoch.
         clock_error_ms : int
-            Greatest difference between a clock and true time.
-        around : Surroundings
+            Maximum difference between a clock and true time.
+        inputs : MoveInputs
             Capacity and evidence.
 
         Returns
         -------
         bool
-            Whether the share, the stage or the confirmation changed.
+            Whether the share, the confirmation, the stage or the step changed.
         """
-        before = (self.share, self.confirmed, self.stage, self.progress.step)
+        previous = (self.share, self.confirmed, self.stage, self.progress.step)
         self.stage = self._find_stage(now_ms, clock_error_ms)
-        self.share = self._allowed_share(now_ms, clock_error_ms, around)
-        self._confirm(now_ms, clock_error_ms, around)
-        return before != (
+        self.share = self._allowed_share(now_ms, clock_error_ms, inputs)
+        self._update_confirmation(now_ms, clock_error_ms, inputs)
+        return previous != (
             self.share,
             self.confirmed,
             self.stage,
             self.progress.step,
         )
 
-    def probing(self, now_ms: int) -> bool:
-        """Whether the old release takes a part again, for comparison."""
-        return now_ms < self._probe_until_ms
+    def is_comparing(self, now_ms: int) -> bool:
+        """Whether the old release gets traffic again for a side-by-side comparison."""
+        return now_ms < self._comparison_until_ms
 
-    def rejoin(self) -> None:
-        """Take note that others may have held this member for gone meanwhile."""
+    def on_new_incarnation(self) -> None:
+        """Mark the member as late unless it has confirmed.
+
+        Other members may have treated its previous incarnation as gone.
+        """
         if not self.confirmed:
-            self.late = True
+            self.joined_late = True
 
     def _find_stage(self, now_ms: int, clock_error_ms: int) -> Stage:
         if self.verdict is not None:
@@ -115,10 +119,10 @@
             return Stage.CONFIRMED
         if now_ms <= self.move.deadline_ms + clock_error_ms:
             return Stage.ROLLING
-        return Stage.UNDECIDED if self.late else Stage.RETURNED
+        return Stage.UNDECIDED if self.joined_late else Stage.RETURNED
 
     def _allowed_share(
-        self, now_ms: int, clock_error_ms: int, around: Surroundings
+        self, now_ms: int, clock_error_ms: int, inputs: MoveInputs
     ) -> float:
         if self.verdict is not None:
             return 1.0 if self.verdict.kind is VerdictKind.DONE else 0.0
@@ -127,67 +131,71 @@
         if self.fault is not None or self.stage is Stage.RETURNED:
             return 0.0
         if self.stage is Stage.UNDECIDED:
-            return self._share_of_peers(around)
-        self._step(now_ms, clock_error_ms, around)
-        return self._step_share(now_ms, around)
+            return self._share_from_peers(inputs)
+        self._update_step(now_ms, clock_error_ms, inputs)
+        return self._step_share(now_ms, inputs)
 
-    def _share_of_peers(self, around: Surroundings) -> float:
-        guidance = around.guidance
+    def _share_from_peers(self, inputs: MoveInputs) -> float:
+        guidance = inputs.guidance
         if guidance is None or guidance.returned or not guidance.confirmed:
             return 0.0
         return 1.0
 
-    def knows_its_share(self, guidance: Guidance | None) -> bool:
-        """Whether the share in force follows from what is known.
+    def is_share_known(self, guidance: Guidance | None) -> bool:
+        """Whether the share that the member must have is known.
 
-        A late member that finds neither the verdict nor a peer that was surely counted
-        can only guess after the deadline, and must not.
+        After the deadline, a late member without the verdict needs a peer that a driver
+        has certainly counted. Without one it must not choose a share.
         """
         if self.stage is not Stage.UNDECIDED or self.fault is not None:
             return True
         return guidance is not None and bool(guidance.returned or guidance.confirmed)
 
-    def _step(self, now_ms: int, clock_error_ms: int, around: Surroundings) -> None:
+    def _update_step(
+        self, now_ms: int, clock_error_ms: int, inputs: MoveInputs
+    ) -> None:
         progress = dataclasses.replace(
             self.progress,
-            answers=self._answers(around),
-            wary=around.wary,
+            outcomes=self._outcomes_in_step(inputs),
+            suspected=inputs.suspected,
         )
         step = due_step(self.move, progress, now_ms, clock_error_ms)
-        if self.late and around.guidance is not None:
-            step = max(step, around.guidance.step)
+        if self.joined_late and inputs.guidance is not None:
+            step = max(step, inputs.guidance.step)
         if step != self.progress.step:
-            self._answered_before = around.answered
+            self._outcomes_before_step = inputs.outcomes
             progress = Progress(step, now_ms)
         self.progress = progress
 
-    def _answers(self, around: Surroundings) -> int:
-        if around.by_schedule:
-            return MIN_ANSWERS
-        return max(0, around.answered - self._answered_before)
+    def _outcomes_in_step(self, inputs: MoveInputs) -> int:
+        if inputs.schedule_only:
+            return MIN_OUTCOMES
+        return max(0, inputs.outcomes - self._outcomes_before_step)
 
-    def _step_share(self, now_ms: int, around: Surroundings) -> float:
+    def _step_share(self, now_ms: int, inputs: MoveInputs) -> float:
         if self.progress.step < 0:
             return 0.0
         steps = self.move.steps
         share = steps[self.progress.step].share
         if share >= 1.0 and len(steps) > 1:
-            if around.suspicious and around.capacity.old_slots:
-                self._probe_until_ms = now_ms + PROBE_MS
-            if self.probing(now_ms):
+            if inputs.degraded and inputs.capacity.old_slots:
+                self._comparison_until_ms = now_ms + COMPARISON_MS
+            if self.is_comparing(now_ms):
                 share = steps[-2].share
-        return min(share, around.capacity.greatest_share)
+        return min(share, inputs.capacity.max_share)
 
-    def _confirm(self, now_ms: int, clock_error_ms: int, around: Surroundings) -> None:
+    def _update_confirmation(
+        self, now_ms: int, clock_error_ms: int, inputs: MoveInputs
+    ) -> None:
         if self.share < 1.0 or self.stage is not Stage.ROLLING:
-            self.full_since_ms = None
+            self.full_share_since_ms = None
             return
-        if self.full_since_ms is None:
-            self.full_since_ms = now_ms
-        if around.wary:
+        if self.full_share_since_ms is None:
+            self.full_share_since_ms = now_ms
+        if inputs.suspected:
             return
-        watched = now_ms - self.full_since_ms >= self.move.watch_ms
+        watch_elapsed = now_ms - self.full_share_since_ms >= self.move.watch_ms
         in_time = now_ms + clock_error_ms < self.move.deadline_ms
-        if watched and in_time:
+        if watch_elapsed and in_time:
             self.confirmed = True
             self.stage = Stage.CONFIRMED
--- a/marigoldchute/moves/watch.py
+++ b/marigoldchute/moves/watch.py
@@ -1,4 +1,4 @@
-"""Tests the counts of this node by itself, with no word from any other."""
+"""Tests the counts of this node independently of all other nodes."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
     from marigoldchute.moves.evidence import CellKey, StreamKey
     from marigoldchute.moves.recorder import MoveRecorder
 
-LOOK_INTERVAL_MS = 250
-WARY_SHARE_OF_THRESHOLD = 0.4
+TEST_INTERVAL_MS = 250
+SUSPECTED_THRESHOLD_FRACTION = 0.4
 
 
-class LocalWatch:
-    """Sequential test over one move's requests of this node.
+class LocalFaultDetector:
+    """Detects faults of a new release from this node's own requests.
 
     Parameters
     ----------
     recorder : MoveRecorder
-        Counts of the move.
+        Recorder of the move.
     """
 
     def __init__(self, recorder: MoveRecorder) -> None:
         self.recorder = recorder
         self._evidence = MoveEvidence(recorder.move.thresholds)
-        self._seen: dict[CellKey, Counts] = {}
-        self._looked_ms = 0
-        self.answered = 0
-        self.wary = False
+        self._tested: dict[CellKey, Counts] = {}
+        self._last_test_ms = 0
+        self.outcomes = 0
+        self.suspected = False
 
-    def look(self, now_ms: int, share: float, nodes: int) -> str | None:
-        """Test the counts; return the reason when they convict the new release.
+    def detect(self, now_ms: int, share: float, nodes: int) -> str | None:
+        """Test the new counts; return a reason if the new release is faulty.
 
         Parameters
         ----------
@@ -47,42 +47,43 @@
         share : float
             Share in force.
         nodes : int
-            Nodes that test by themselves and share half the false-alarm probability.
+            Number of nodes that run this test and share half the false-alarm
+            probability.
         """
-        if now_ms - self._looked_ms < LOOK_INTERVAL_MS:
+        if now_ms - self._last_test_ms < TEST_INTERVAL_MS:
             return None
-        self._looked_ms = now_ms
+        self._last_test_ms = now_ms
         for key, counts in self.recorder.cells.items():
-            fresh = counts.minus(self._seen.get(key, Counts()))
-            if any(fresh):
-                self._seen[key] = counts
-                self._evidence.add(key, fresh, now_ms)
-        self.answered = sum(c.answered for k, c in self._seen.items() if k.new)
+            delta = counts.minus(self._tested.get(key, Counts()))
+            if any(delta):
+                self._tested[key] = counts
+                self._evidence.add(key, delta, now_ms)
+        self.outcomes = sum(c.outcomes for k, c in self._tested.items() if k.new)
         self._evidence.close_windows(now_ms, share >= 1.0)
-        return self._judge(nodes)
+        return self._evaluate(nodes)
 
     @property
-    def suspicious(self) -> bool:
-        """Whether the new release alone fails more than the old one did."""
-        return self._evidence.suspicious
+    def degraded(self) -> bool:
+        """Whether the new release, running alone, fails more than the old one did."""
+        return self._evidence.degraded
 
-    def forget_suspicion(self) -> None:
-        """Begin anew to compare with the past."""
-        self._evidence.forget_suspicion()
+    def reset_history(self) -> None:
+        """Restart the comparison with the old release's past failure rate."""
+        self._evidence.reset_history()
 
-    def _judge(self, nodes: int) -> str | None:
+    def _evaluate(self, nodes: int) -> str | None:
         streams = self._evidence.streams()
         log_e = log_e_value(streams)
-        alpha = self.recorder.move.thresholds.false_alarm
-        limit = log_threshold(alpha, 2 * max(nodes, 1))
-        self.wary = log_e > WARY_SHARE_OF_THRESHOLD * limit
-        if log_e <= limit:
+        false_alarm = self.recorder.move.thresholds.false_alarm
+        threshold = log_threshold(false_alarm, 2 * max(nodes, 1))
+        self.suspected = log_e > SUSPECTED_THRESHOLD_FRACTION * threshold
+        if log_e <= threshold:
             return None
-        return describe(self.recorder, worst_stream(streams))
+        return describe_fault(self.recorder, worst_stream(streams))
 
 
-def describe(recorder: MoveRecorder, stream: StreamKey | None) -> str:
-    """Return a short sentence about the test with the most evidence."""
+def describe_fault(recorder: MoveRecorder, stream: StreamKey | None) -> str:
+    """Return a short explanation for operators from the strongest test."""
     if stream is None:
         return "new release is worse"
     kind = "errors" if stream.metric == 0 else "slow answers"
--- a/tests/test_moves/test_preflight.py
+++ b/tests/test_moves/test_preflight.py
@@ -1,4 +1,4 @@
-"""Moves that are refused before the roll."""
+"""Checks of the moves of a bundle before it is rolled out."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
         return (self.local,)
 
 
-def check(move: Move, members: FakeMembers, busy: float, now_ms: int) -> None:
+def check(move: Move, members: FakeMembers, concurrency: float, now_ms: int) -> None:
     content = BundleContent((Service("turnos", "r1"),), (), (move,))
-    check_moves(content, (), members, {"turnos": busy}, now_ms, 250)  # type: ignore[arg-type]
+    check_moves(content, (), members, {"turnos": concurrency}, now_ms, 250)  # type: ignore[arg-type]
 
 
 class PreflightTest(unittest.TestCase):
@@ -39,23 +39,23 @@
             check(*args)  # type: ignore[arg-type]
         self.assertIs(caught.exception.code, code)
 
-    def test_move_with_time_and_slots_is_accepted(self) -> None:
+    def test_move_with_enough_time_and_slots_is_accepted(self) -> None:
         check(MOVE, FakeMembers(12), 6.0, 0)
 
-    def test_deadline_that_has_become_too_near_is_refused(self) -> None:
+    def test_deadline_too_soon_is_refused(self) -> None:
         code = ResultCode.MOVE_DEADLINE_TOO_SHORT
         self.assert_refused(code, MOVE, FakeMembers(12), 0.0, 4000)
 
-    def test_new_release_without_the_slots_is_refused(self) -> None:
+    def test_new_release_with_too_few_slots_is_refused(self) -> None:
         code = ResultCode.MOVE_CAPACITY_TOO_SMALL
         self.assert_refused(code, MOVE, FakeMembers(4), 6.0, 0)
 
-    def test_slots_in_a_cold_start_do_not_count(self) -> None:
+    def test_slots_in_cold_start_are_not_counted(self) -> None:
         code = ResultCode.MOVE_CAPACITY_TOO_SMALL
         self.assert_refused(code, MOVE, FakeMembers(12, 5000), 6.0, 0)
 
-    def test_move_that_is_under_way_is_not_checked_again(self) -> None:
-        late = dataclasses.replace(MOVE, deadline_ms=2500)
-        content = BundleContent((Service("turnos", "r1"),), (), (late,))
+    def test_move_in_progress_is_not_checked_again(self) -> None:
+        short_deadline = dataclasses.replace(MOVE, deadline_ms=2500)
+        content = BundleContent((Service("turnos", "r1"),), (), (short_deadline,))
         members = FakeMembers(0)
-        check_moves(content, [MoveState(late)], members, {}, 2400, 250)  # type: ignore[arg-type]
+        check_moves(content, [MoveState(short_deadline)], members, {}, 2400, 250)  # type: ignore[arg-type]
--- a/tests/test_moves/test_sequential.py
+++ b/tests/test_moves/test_sequential.py
@@ -1,4 +1,4 @@
-"""The sequential test is an e-process, and it has power."""
+"""Error bound and power of the sequential test and of the history test."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 def _binomial(total: int, failures: int, rate: float) -> float:
-    ways = math.comb(total, failures)
-    return ways * rate**failures * (1.0 - rate) ** (total - failures)
+    combinations = math.comb(total, failures)
+    return combinations * rate**failures * (1.0 - rate) ** (total - failures)
 
 
 class LogFactorTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(sizes, sizes, rates, rates, rates, rates, st.floats(0.0, 0.2))
-    def test_expectation_is_at_most_one_under_every_null(
+    def test_expected_factor_is_at_most_one_under_every_null(
         self,
         old_size: int,
         new_size: int,
@@ -53,18 +53,18 @@
 
 
 class SequentialTestTest(unittest.TestCase):
-    def test_one_window_alone_never_convicts(self) -> None:
+    def test_single_window_is_never_enough(self) -> None:
         test = SequentialTest(0.02)
         test.observe((1000, 5), (12, 12))
         self.assertLessEqual(log_mean_exp(test.log_values), 0.0)
 
-    def test_release_that_always_fails_is_convicted_in_the_third_window(self) -> None:
+    def test_release_that_always_fails_is_detected_in_third_window(self) -> None:
         test = SequentialTest(0.02)
         for _ in range(3):
             test.observe((100, 1), (5, 5))
         self.assertGreater(log_mean_exp(test.log_values), log_threshold(0.001, 2))
 
-    def test_failures_of_both_releases_convict_nobody(self) -> None:
+    def test_failures_of_both_releases_are_not_detected(self) -> None:
         rng = random.Random(4)
         test = SequentialTest(0.02)
         for window in range(200):
@@ -76,7 +76,7 @@
 
 
 class HistoryTestTest(unittest.TestCase):
-    def test_suspicion_rises_with_failures_and_falls_without(self) -> None:
+    def test_sum_rises_with_failures_and_returns_to_zero_without(self) -> None:
         test = HistoryTest(0.02)
         for _ in range(3):
             test.observe(0.01, (50, 20))
--- a/tests/test_moves/test_verdict_protocol.py
+++ b/tests/test_moves/test_verdict_protocol.py
@@ -1,8 +1,8 @@
-"""Walks through interleavings of the verdict protocol on the real decisions.
+"""Interleavings of the verdict protocol, run on the production decision functions.
 
-Members, collectors, two drivers and the store exchange messages that are delivered in
-any order, late, twice or never. Clocks are wrong within the bound, members die and come
-back, drivers stop between judging and writing.
+Messages between members, collectors, two drivers and the store are reordered, delayed,
+duplicated or lost. Clocks deviate within the allowed error, members crash and restart,
+and drivers pause between deciding and writing.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 from marigoldchute.bundle.model import Move, Step
 from marigoldchute.membership.model import Member
-from marigoldchute.moves.judge import judge, stand_of_centre
+from marigoldchute.moves.judge import confirmation_digest, decide_verdict
 from marigoldchute.moves.model import (
     Fault,
     Guidance,
@@ -35,7 +35,7 @@
     VerdictKind,
 )
 from marigoldchute.moves.schedule import scheduled_step
-from marigoldchute.moves.state import MoveState, Surroundings
+from marigoldchute.moves.state import MoveInputs, MoveState
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -44,57 +44,63 @@
 MOVE = Move(
     "m", "turnos", "r1", "r2", 0, 2000, (Step(0.1, 100), Step(1.0, 0)), watch_ms=200
 )
-CENTRE_OF = {"a1": "a", "a2": "a", "b1": "b"}
+DATA_CENTRE_OF = {"a1": "a", "a2": "a", "b1": "b"}
 DRIVERS = ("d0", "d1")
-TROUBLES = [
+DISRUPTION_SETS = [
     frozenset(kinds)
     for size in range(4)
     for kinds in itertools.combinations(("death", "fault", "pause", "cancel"), size)
 ]
-names = st.sampled_from(sorted(CENTRE_OF))
+names = st.sampled_from(sorted(DATA_CENTRE_OF))
 drivers = st.sampled_from(DRIVERS)
-centres = st.sampled_from(["a", "b"])
+data_centres = st.sampled_from(["a", "b"])
 
 
 def _member(name: str, incarnation: int) -> Member:
-    return Member(name, incarnation, 0, "127.0.0.1", 1, CENTRE_OF[name], "r")
+    return Member(name, incarnation, 0, "127.0.0.1", 1, DATA_CENTRE_OF[name], "r")
 
 
-WRITTEN: collections.Counter[VerdictKind] = collections.Counter()
+WRITTEN_VERDICTS: collections.Counter[VerdictKind] = collections.Counter()
 
 
 class Node:
-    """One member: its process, its clock and what it knows."""
+    """One member with its process state, clock error and move state."""
 
-    def __init__(self, name: str, offset_ms: int, late: bool, incarnation: int) -> None:
+    def __init__(
+        self, name: str, offset_ms: int, joined_late: bool, incarnation: int
+    ) -> None:
         self.name = name
         self.offset_ms = offset_ms
         self.incarnation = incarnation
         self.alive = True
         self.paused = False
-        self.state = MoveState(MOVE, late)
+        self.state = MoveState(MOVE, joined_late)
         self.guidance: Guidance | None = None
         self.sequence = 0
 
     def tick(self, true_ms: int) -> None:
         if self.alive and not self.paused:
-            around = Surroundings(answered=10**6, guidance=self.guidance)
-            self.state.advance(true_ms + self.offset_ms, CLOCK_ERROR_MS, around)
+            inputs = MoveInputs(outcomes=10**6, guidance=self.guidance)
+            self.state.advance(true_ms + self.offset_ms, CLOCK_ERROR_MS, inputs)
 
     def report(self) -> MemberReport:
         self.sequence += 1
         state = self.state
         move = MoveReport(
-            "m", state.share, state.confirmed, state.stage, late=state.late
+            "m",
+            state.share,
+            state.confirmed,
+            state.stage,
+            joined_late=state.joined_late,
         )
         return MemberReport(self.name, self.incarnation, self.sequence, 1, (move,))
 
 
-class View:
-    """Members that a collector or driver knows."""
+class MemberView:
+    """Member list as seen by one collector or driver."""
 
     def __init__(self) -> None:
-        self.incarnations = dict.fromkeys(CENTRE_OF, 1)
+        self.incarnations = dict.fromkeys(DATA_CENTRE_OF, 1)
         self.gone: set[tuple[str, int]] = set()
 
     def members(self) -> list[Member]:
@@ -104,36 +110,36 @@
             if (name, incarnation) not in self.gone
         ]
 
-    def learn(self, name: str, incarnation: int) -> None:
+    def update_incarnation(self, name: str, incarnation: int) -> None:
         self.incarnations[name] = max(self.incarnations[name], incarnation)
 
 
 class VerdictProtocol(RuleBasedStateMachine):
-    trouble: frozenset[str] = frozenset()
+    disruptions: frozenset[str] = frozenset()
 
     @initialize(
         offsets=st.tuples(*[st.sampled_from([-100, 0, 100])] * 5),
         start_ms=st.sampled_from([-50, 500, 1700]),
         reported=st.booleans(),
-        trouble=st.sampled_from(TROUBLES),
+        disruptions=st.sampled_from(DISRUPTION_SETS),
     )
     def begin(
         self,
         offsets: tuple[int, ...],
         start_ms: int,
         reported: bool,
-        trouble: frozenset[str],
+        disruptions: frozenset[str],
     ) -> None:
-        self.trouble = trouble
+        self.disruptions = disruptions
         self.true_ms = -50
         self.nodes = {
             name: Node(name, offset, False, 1)
-            for name, offset in zip(CENTRE_OF, offsets, strict=False)
+            for name, offset in zip(DATA_CENTRE_OF, offsets, strict=False)
         }
         self.driver_offset = dict(zip(DRIVERS, offsets[3:], strict=True))
-        self.views = {key: View() for key in ("a", "b", *DRIVERS)}
+        self.views = {key: MemberView() for key in ("a", "b", *DRIVERS)}
         self.reports: dict[str, dict[str, MemberReport]] = {"a": {}, "b": {}}
-        self.stands: dict[str, dict] = {name: {} for name in DRIVERS}
+        self.digests: dict[str, dict] = {name: {} for name in DRIVERS}
         self.driver_fault: dict[str, Fault | None] = dict.fromkeys(DRIVERS)
         self.pending: list[Verdict] = []
         self.stored: Verdict | None = None
@@ -144,7 +150,7 @@
         if reported:
             self.report_all()
 
-    # Time, and processes that stop or die.
+    # Rules for time, and for processes that pause, crash or restart.
 
     @rule(step=st.sampled_from([50, 100, 300, 700]))
     def pass_time(self, step: int) -> None:
@@ -153,59 +159,61 @@
             for node in self.nodes.values():
                 node.tick(self.true_ms)
 
-    @precondition(lambda self: "pause" in self.trouble)
+    @precondition(lambda self: "pause" in self.disruptions)
     @rule(name=names, paused=st.booleans())
     def pause(self, name: str, paused: bool) -> None:
         node = self.nodes[name]
         node.paused = paused
         node.tick(self.true_ms)
 
-    @precondition(lambda self: "death" in self.trouble)
+    @precondition(lambda self: "death" in self.disruptions)
     @rule(name=names)
     def kill(self, name: str) -> None:
         self.nodes[name].alive = False
 
-    @precondition(lambda self: "death" in self.trouble)
+    @precondition(lambda self: "death" in self.disruptions)
     @rule(name=names)
     def restart(self, name: str) -> None:
         old = self.nodes[name]
         incarnation = old.incarnation + 1
-        late = self.true_ms + old.offset_ms + CLOCK_ERROR_MS > MOVE.start_ms
-        self.nodes[name] = Node(name, old.offset_ms, late, incarnation)
+        joined_late = self.true_ms + old.offset_ms + CLOCK_ERROR_MS > MOVE.start_ms
+        self.nodes[name] = Node(name, old.offset_ms, joined_late, incarnation)
         for view in self.views.values():
             self.messages.append(
-                lambda view=view: view.learn(name, incarnation)  # type: ignore[misc]
+                lambda view=view: view.update_incarnation(name, incarnation)  # type: ignore[misc]
             )
 
-    @precondition(lambda self: "death" in self.trouble)
-    @rule(name=names, viewer=st.sampled_from(["a", "b", *DRIVERS]))
-    def declare_gone(self, name: str, viewer: str) -> None:
-        """Only a process that is dead refuses connections and is held for gone."""
+    @precondition(lambda self: "death" in self.disruptions)
+    @rule(name=names, observer=st.sampled_from(["a", "b", *DRIVERS]))
+    def declare_gone(self, name: str, observer: str) -> None:
+        """Mark a dead member as gone; only a dead process refuses connections."""
         node = self.nodes[name]
         if not node.alive:
-            self.views[viewer].gone.add((name, node.incarnation))
+            self.views[observer].gone.add((name, node.incarnation))
 
-    # Messages.
+    # Rules for messages.
 
     @rule(name=names)
     def send_report(self, name: str) -> None:
         node = self.nodes[name]
         if not node.alive:
             return
-        report, centre = node.report(), CENTRE_OF[name]
+        report, data_centre = node.report(), DATA_CENTRE_OF[name]
 
-        def arrive() -> None:
-            held = self.reports[centre].get(name)
+        def on_arrival() -> None:
+            existing = self.reports[data_centre].get(name)
             order = (report.incarnation, report.sequence)
-            if held is None or (held.incarnation, held.sequence) < order:
-                self.reports[centre][name] = report
+            if existing is None or (existing.incarnation, existing.sequence) < order:
+                self.reports[data_centre][name] = report
 
-        self.messages.append(arrive)
+        self.messages.append(on_arrival)
 
     @rule(name=names)
     def send_guidance(self, name: str) -> None:
-        node, centre = self.nodes[name], CENTRE_OF[name]
-        stages = [move.stage for r in self.reports[centre].values() for move in r.moves]
+        node, data_centre = self.nodes[name], DATA_CENTRE_OF[name]
+        stages = [
+            move.stage for r in self.reports[data_centre].values() for move in r.moves
+        ]
         guidance = Guidance(
             "m",
             confirmed=sum(stage == Stage.CONFIRMED for stage in stages),
@@ -213,11 +221,15 @@
         )
         self.messages.append(lambda: setattr(node, "guidance", guidance))
 
-    @rule(centre=centres, driver=drivers)
-    def send_stand(self, centre: str, driver: str) -> None:
-        home = [m for m in self.views[centre].members() if m.data_centre == centre]
-        stand = stand_of_centre("m", home, self.reports[centre])
-        self.messages.append(lambda: self.stands[driver].__setitem__(centre, stand))
+    @rule(data_centre=data_centres, driver=drivers)
+    def send_digest(self, data_centre: str, driver: str) -> None:
+        members = [
+            m for m in self.views[data_centre].members() if m.data_centre == data_centre
+        ]
+        digest = confirmation_digest("m", members, self.reports[data_centre])
+        self.messages.append(
+            lambda: self.digests[driver].__setitem__(data_centre, digest)
+        )
 
     @rule()
     def report_all(self) -> None:
@@ -228,35 +240,35 @@
 
     @rule(driver=drivers)
     def gather(self, driver: str) -> None:
-        for centre in "ab":
-            self.send_stand(centre, driver)
+        for data_centre in "ab":
+            self.send_digest(data_centre, driver)
             self.messages.pop()()
 
     @rule(name=names)
-    def guide(self, name: str) -> None:
+    def apply_guidance(self, name: str) -> None:
         self.send_guidance(name)
         self.messages.pop()()
 
     @rule(driver=drivers)
-    def gather_and_judge(self, driver: str) -> None:
+    def gather_and_decide(self, driver: str) -> None:
         self.gather(driver)
-        self.judge_move(driver)
+        self.decide_move(driver)
 
     @rule(driver=drivers)
-    def decide(self, driver: str) -> None:
+    def decide_and_write(self, driver: str) -> None:
         self.gather(driver)
         before = len(self.pending)
-        self.judge_move(driver)
+        self.decide_move(driver)
         if len(self.pending) > before:
             self.store_verdict(self.pending.pop())
 
-    @rule(centre=centres)
-    def replace_collector(self, centre: str) -> None:
-        self.reports[centre] = {}
+    @rule(data_centre=data_centres)
+    def replace_collector(self, data_centre: str) -> None:
+        self.reports[data_centre] = {}
 
-    @precondition(lambda self: "fault" in self.trouble)
+    @precondition(lambda self: "fault" in self.disruptions)
     @rule(name=names)
-    def find_fault(self, name: str) -> None:
+    def detect_fault(self, name: str) -> None:
         if not self.nodes[name].alive or self.fault is not None:
             return
         self.fault = Fault("m", name, "errors", self.true_ms)
@@ -264,7 +276,7 @@
         self.nodes[name].tick(self.true_ms)
 
     @precondition(lambda self: self.fault is not None)
-    @rule(target_name=st.sampled_from([*CENTRE_OF, *DRIVERS]))
+    @rule(target_name=st.sampled_from([*DATA_CENTRE_OF, *DRIVERS]))
     def send_fault(self, target_name: str) -> None:
         if target_name in DRIVERS:
             self.messages.append(
@@ -273,40 +285,40 @@
             return
         node = self.nodes[target_name]
 
-        def arrive() -> None:
+        def on_arrival() -> None:
             node.state.fault = self.fault
             node.tick(self.true_ms)
 
-        self.messages.append(arrive)
+        self.messages.append(on_arrival)
 
     @precondition(lambda self: self.stored is not None)
     @rule(name=names)
     def send_verdict(self, name: str) -> None:
         node, verdict = self.nodes[name], self.stored
 
-        def arrive() -> None:
+        def on_arrival() -> None:
             node.state.verdict = verdict
             node.tick(self.true_ms)
 
-        self.messages.append(arrive)
+        self.messages.append(on_arrival)
 
     @precondition(lambda self: bool(self.messages))
-    @rule(data=st.data(), again=st.booleans())
-    def deliver(self, data: st.DataObject, again: bool) -> None:
+    @rule(data=st.data(), duplicate=st.booleans())
+    def deliver(self, data: st.DataObject, duplicate: bool) -> None:
         index = data.draw(st.integers(0, len(self.messages) - 1))
-        message = self.messages[index] if again else self.messages.pop(index)
+        message = self.messages[index] if duplicate else self.messages.pop(index)
         message()
 
-    # Drivers, operators and the store.
+    # Rules for drivers, operators and the store.
 
     @rule(driver=drivers)
-    def judge_move(self, driver: str) -> None:
+    def decide_move(self, driver: str) -> None:
         now_ms = self.true_ms + self.driver_offset[driver]
-        decision = judge(
+        decision = decide_verdict(
             MOVE,
             self.driver_fault[driver],
             self.views[driver].members(),
-            self.stands[driver],
+            self.digests[driver],
             now_ms,
             CLOCK_ERROR_MS,
         )
@@ -317,7 +329,7 @@
                 Verdict("m", decision.kind, decision.reason, driver, now_ms, token, 0)
             )
 
-    @precondition(lambda self: "cancel" in self.trouble)
+    @precondition(lambda self: "cancel" in self.disruptions)
     @rule()
     def cancel(self) -> None:
         self.pending.append(
@@ -333,45 +345,49 @@
     def store_verdict(self, verdict: Verdict) -> None:
         if self.stored is None:
             self.stored = verdict
-            WRITTEN[verdict.kind] += 1
+            WRITTEN_VERDICTS[verdict.kind] += 1
 
-    # What must hold.
+    # Invariants.
 
     def _running(self) -> list[Node]:
         return [node for node in self.nodes.values() if node.alive and not node.paused]
 
     @invariant()
-    def done_is_held_by_every_member(self) -> None:
+    def done_implies_full_share_on_every_member(self) -> None:
         if self.stored is None or self.stored.kind is not VerdictKind.DONE:
             return
         for node in self._running():
             state = node.state
-            if not state.late:
+            if not state.joined_late:
                 assert state.share == 1.0, node.name
                 continue
             node.tick(self.true_ms)
-            past = self.true_ms > MOVE.deadline_ms + 2 * CLOCK_ERROR_MS
-            if past and state.fault is None and state.knows_its_share(node.guidance):
+            after_deadline = self.true_ms > MOVE.deadline_ms + 2 * CLOCK_ERROR_MS
+            if (
+                after_deadline
+                and state.fault is None
+                and state.is_share_known(node.guidance)
+            ):
                 assert state.share == 1.0, node.name
 
     @invariant()
-    def member_that_has_not_confirmed_is_at_zero_after_the_deadline(self) -> None:
+    def unconfirmed_member_has_share_zero_after_deadline(self) -> None:
         if self.true_ms <= MOVE.deadline_ms + 2 * CLOCK_ERROR_MS:
             return
         for node in self._running():
             state = node.state
-            if not (state.late or state.confirmed or state.verdict):
+            if not (state.joined_late or state.confirmed or state.verdict):
                 assert state.share == 0.0, node.name
 
     @invariant()
-    def member_that_knows_a_fault_is_at_zero(self) -> None:
+    def member_with_fault_has_share_zero(self) -> None:
         for node in self._running():
             state = node.state
             if state.fault and not (state.confirmed or state.verdict):
                 assert state.share == 0.0, node.name
 
     @invariant()
-    def share_is_never_beyond_the_schedule(self) -> None:
+    def share_never_exceeds_schedule(self) -> None:
         for node in self._running():
             state = node.state
             if state.confirmed or state.verdict or state.stage is Stage.UNDECIDED:
@@ -381,7 +397,7 @@
             assert state.share <= allowed, node.name
 
     @invariant()
-    def taken_back_is_never_written_over_by_done(self) -> None:
+    def known_verdict_is_the_stored_one(self) -> None:
         for node in self.nodes.values():
             if node.state.verdict is not None:
                 assert node.state.verdict is self.stored
@@ -399,33 +415,35 @@
 class VerdictProtocolTest(VerdictProtocol.TestCase, unittest.TestCase):  # type: ignore[name-defined, misc]
     @classmethod
     def tearDownClass(cls) -> None:
-        """A walk that never decides a move would prove nothing."""
-        assert min(WRITTEN[kind] for kind in VerdictKind) > 25, WRITTEN
+        """Fail when too few verdicts of a kind were written to test the protocol."""
+        assert min(WRITTEN_VERDICTS[kind] for kind in VerdictKind) > 25, (
+            WRITTEN_VERDICTS
+        )
 
 
-class RestartWalkTest(unittest.TestCase):
-    """Every order of a restart, its news, a driver's steps and the deadline."""
+class RestartOrderTest(unittest.TestCase):
+    """Orders of a restart, its notifications, a driver's steps and the deadline."""
 
-    EVENTS = ("kill", "restart", "a learns", "d0 learns", "report")
-    STEPS = ("gather", "judge", "write", "deadline")
+    EVENTS = ("kill", "restart", "a updated", "d0 updated", "report")
+    STEPS = ("gather", "decide", "write", "deadline")
     BEFORE = (
         ("kill", "restart"),
-        ("restart", "a learns"),
-        ("restart", "d0 learns"),
+        ("restart", "a updated"),
+        ("restart", "d0 updated"),
         ("restart", "report"),
-        ("gather", "judge"),
-        ("judge", "write"),
+        ("gather", "decide"),
+        ("decide", "write"),
     )
 
-    def test_every_order(self) -> None:
+    def test_verdict_holds_in_every_order(self) -> None:
         decided: collections.Counter[VerdictKind | None] = collections.Counter()
         for order in itertools.permutations(self.EVENTS + self.STEPS):
             if all(order.index(a) < order.index(b) for a, b in self.BEFORE):
-                decided[self._walk(order)] += 1
+                decided[self._run_order(order)] += 1
         self.assertGreater(decided[VerdictKind.DONE], 100)
         self.assertGreater(decided[VerdictKind.TAKEN_BACK], 100)
 
-    def _walk(self, order: tuple[str, ...]) -> VerdictKind | None:
+    def _run_order(self, order: tuple[str, ...]) -> VerdictKind | None:
         protocol = VerdictProtocol()
         protocol.begin((0,) * 5, 1700, True, frozenset())
         for event in order:
@@ -434,7 +452,7 @@
         for name in protocol.nodes:
             protocol.send_report(name)
             protocol.messages.pop()()
-            protocol.guide(name)
+            protocol.apply_guidance(name)
         protocol.pass_time(700)
         self._check(protocol, order)
         return None if protocol.stored is None else protocol.stored.kind
@@ -445,15 +463,15 @@
         elif event == "restart":
             protocol.restart("a1")
             protocol.messages.clear()
-        elif event.endswith("learns"):
-            protocol.views[event.split()[0]].learn("a1", 2)
+        elif event.endswith("updated"):
+            protocol.views[event.split()[0]].update_incarnation("a1", 2)
         elif event == "report":
             protocol.send_report("a1")
             protocol.messages.pop()()
         elif event == "gather":
             protocol.gather("d0")
-        elif event == "judge":
-            protocol.judge_move("d0")
+        elif event == "decide":
+            protocol.decide_move("d0")
         elif event == "write" and protocol.pending:
             protocol.store_verdict(protocol.pending.pop())
         elif event == "deadline":
@@ -461,16 +479,16 @@
 
     def _check(self, protocol: VerdictProtocol, order: tuple[str, ...]) -> None:
         with self.subTest(order=order):
-            protocol.done_is_held_by_every_member()
-            protocol.member_that_has_not_confirmed_is_at_zero_after_the_deadline()
-            protocol.share_is_never_beyond_the_schedule()
+            protocol.done_implies_full_share_on_every_member()
+            protocol.unconfirmed_member_has_share_zero_after_deadline()
+            protocol.share_never_exceeds_schedule()
             self._check_count(protocol)
 
     def _check_count(self, protocol: VerdictProtocol) -> None:
-        """A driver that knows of a new incarnation never counts the old one."""
+        """Check that a driver that knows a new incarnation never counts the old one."""
         view = protocol.views["d0"]
         if view.incarnations["a1"] == 1:
             return
         for verdict in protocol.pending:
             if verdict.kind is VerdictKind.DONE and verdict.token.endswith("known"):
-                self.fail("done was judged without the new incarnation")
+                self.fail("done was decided without the new incarnation")
