--- a/marigoldchute/link/endpoint.py
+++ b/marigoldchute/link/endpoint.py
@@ -1,4 +1,4 @@
-"""Opening and accepting links."""
+"""Endpoint that opens and accepts links between nodes."""
 
 from __future__ import annotations
 
@@ -29,31 +29,32 @@
 CONNECT_TIMEOUT_S = 2.0
 LISTEN_BACKLOG = 1024
 FLUSH_TIMEOUT_S = 2.0
-FLUSH_POLL_S = 0.01
-MAX_HANDSHAKES = 64
-MAX_CONTROL_LINKS = 128
+FLUSH_POLL_INTERVAL_S = 0.01
+MAX_CONCURRENT_HANDSHAKES = 64
+MAX_ACCEPTED_CONTROL_LINKS = 128
 CONTROL_PURPOSE = "control"
 
 
 class LinkEndpoint:
-    """Opens links to peers and accepts theirs.
+    """Opens links to peers and accepts links that peers open.
 
     Parameters
     ----------
     local : PeerIdentity
-        Who this node is.
+        Identity of this node.
     bind_address : str
-        IP number of this VM, also the source of outgoing connections.
+        IP address of this VM, also the source address of outgoing connections.
     secrets : tuple of bytes
-        Shared secrets of the peers; the first proves, any is accepted.
+        Secrets shared by the peers. This node authenticates itself with the first
+        one and accepts any of them from a peer.
     handlers : Handlers
-        What to do with calls and streams of peers.
+        Handlers for the calls and streams of peers.
     clock : HybridClock
-        Clock carried by heartbeats.
+        Clock whose timestamps the heartbeats carry.
     heartbeat_ms : int
         Interval between heartbeats.
     on_link : callable
-        Called with each accepted link before it runs.
+        Called with each accepted link before the link starts to run.
     """
 
     def __init__(
@@ -74,11 +75,11 @@
         self._clock = clock
         self._heartbeat_ms = heartbeat_ms
         self._on_link = on_link
-        self._handshakes = 0
-        self._ended_totals: dict[str, ByteTotals] = {}
+        self._handshake_count = 0
+        self._closed_link_totals: dict[str, ByteTotals] = {}
 
     def begin_incarnation(self, incarnation: int) -> None:
-        """Go on under another incarnation and close the control links of this one."""
+        """Switch to a new incarnation and close the control links of the old one."""
         local = self.local
         self.local = PeerIdentity(
             local.name, incarnation, local.data_centre, local.region
@@ -88,34 +89,34 @@
                 link.close()
 
     def byte_totals(self) -> dict[str, ByteTotals]:
-        """Return the bytes of all links, ended ones included, by purpose."""
-        totals = dict(self._ended_totals)
+        """Return the byte totals by purpose, including links that have closed."""
+        totals = dict(self._closed_link_totals)
         for link in self.links:
-            held = totals.get(link.purpose, ByteTotals())
-            totals[link.purpose] = held.plus(link.bytes_sent, link.bytes_received)
+            previous = totals.get(link.purpose, ByteTotals())
+            totals[link.purpose] = previous.plus(link.bytes_sent, link.bytes_received)
         return totals
 
     async def connect(self, address: str, port: int, purpose: str) -> Link:
-        """Open a link; the caller must then drive it with ``run``.
+        """Open a link, which the caller must then drive with ``run_link``.
 
         Parameters
         ----------
         address : str
-            IP number of the peer.
+            IP address of the peer.
         port : int
-            Its TCP port for peers.
+            TCP port on which the peer accepts links.
         purpose : str
             ``control`` or ``traffic``.
 
         Returns
         -------
         Link
-            Open link.
+            The open link.
 
         Raises
         ------
         PeerError
-            No connection in time, or the handshake failed.
+            The connection was not established in time, or the handshake failed.
         AuthError
             The peer does not hold the shared secret.
         """
@@ -126,7 +127,9 @@
             except BaseException:
                 await trio.aclose_forcefully(stream)
                 raise
-        raise PeerError(f"no handshake with {address}:{port}", ResultCode.PEER_TIMEOUT)
+        raise PeerError(
+            f"timeout in the handshake with {address}:{port}", ResultCode.PEER_TIMEOUT
+        )
 
     async def _open_socket(self, address: str, port: int) -> trio.SocketStream:
         sock = trio.socket.socket()
@@ -137,7 +140,7 @@
         except ConnectionRefusedError as exc:
             sock.close()
             raise PeerError(
-                f"{address}:{port} refuses connections", ResultCode.PEER_REFUSED
+                f"{address}:{port} refused the connection", ResultCode.PEER_REFUSED
             ) from exc
         except (OSError, trio.TooSlowError) as exc:
             sock.close()
@@ -157,10 +160,10 @@
         try:
             peer = await handshake.open(identity, self._secrets)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as exc:
-            raise PeerError("connection ended in the handshake") from exc
-        return self._make_link(stream, decoder, handshake, peer, purpose, True)
+            raise PeerError("connection closed during the handshake") from exc
+        return self._create_link(stream, decoder, handshake, peer, purpose, True)
 
-    def _make_link(
+    def _create_link(
         self,
         stream: trio.SocketStream,
         decoder: FrameDecoder,
@@ -179,25 +182,25 @@
             self._handlers,
             self._clock,
             self._heartbeat_ms,
-            handshake.pending,
+            handshake.pending_frames,
         )
 
     async def run_link(self, link: Link) -> None:
-        """Drive a link until it ends and keep count of it."""
+        """Drive a link until it closes and add its bytes to the totals."""
         self.links.add(link)
         try:
             await link.run()
         finally:
             self.links.discard(link)
-            held = self._ended_totals.get(link.purpose, ByteTotals())
+            previous = self._closed_link_totals.get(link.purpose, ByteTotals())
             sent, received = link.bytes_sent, link.bytes_received
-            self._ended_totals[link.purpose] = held.plus(sent, received)
+            self._closed_link_totals[link.purpose] = previous.plus(sent, received)
 
     async def flush(self) -> None:
-        """Wait until what was sent on every link has been written."""
+        """Wait until all queued frames of every link are written, or time out."""
         with trio.move_on_after(FLUSH_TIMEOUT_S):
             while any(link.pending_bytes for link in self.links):
-                await trio.sleep(FLUSH_POLL_S)
+                await trio.sleep(FLUSH_POLL_INTERVAL_S)
 
     async def serve(
         self, port: int, task_status: trio.TaskStatus[Any] = trio.TASK_STATUS_IGNORED
@@ -206,7 +209,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_heartbeats)
             await trio.serve_tcp(
-                self._accept,
+                self._handle_connection,
                 port,
                 host=self._bind_address,
                 backlog=LISTEN_BACKLOG,
@@ -214,33 +217,37 @@
             )
 
     async def _send_heartbeats(self) -> None:
-        # One task for all links: a wake-up for each link costs more than its bytes.
+        # One task serves all links, because waking a task per link costs more than
+        # sending the few bytes of a heartbeat.
         while True:
             await trio.sleep(self._heartbeat_ms / 1000)
             now = trio.current_time()
             for link in tuple(self.links):
-                link.beat(now)
+                link.check_heartbeat(now)
 
-    async def _accept(self, stream: trio.SocketStream) -> None:
-        if self._handshakes >= MAX_HANDSHAKES or self._is_full():
-            await _refuse(stream)
+    async def _handle_connection(self, stream: trio.SocketStream) -> None:
+        if (
+            self._handshake_count >= MAX_CONCURRENT_HANDSHAKES
+            or self._is_control_link_limit_reached()
+        ):
+            await _refuse_connection(stream)
             return
-        self._handshakes += 1
+        self._handshake_count += 1
         try:
             link = await self._accept_link(stream)
         finally:
-            self._handshakes -= 1
+            self._handshake_count -= 1
         if link is not None:
             self._on_link(link)
             await self.run_link(link)
 
-    def _is_full(self) -> bool:
+    def _is_control_link_limit_reached(self) -> bool:
         accepted = [
             link
             for link in self.links
             if not link.opened_here and link.purpose == CONTROL_PURPOSE
         ]
-        return len(accepted) >= MAX_CONTROL_LINKS
+        return len(accepted) >= MAX_ACCEPTED_CONTROL_LINKS
 
     async def _accept_link(self, stream: trio.SocketStream) -> Link | None:
         decoder = FrameDecoder()
@@ -259,11 +266,11 @@
         if peer is None:
             await trio.aclose_forcefully(stream)
             return None
-        return self._make_link(stream, decoder, handshake, peer, peer.purpose, False)
+        return self._create_link(stream, decoder, handshake, peer, peer.purpose, False)
 
 
-async def _refuse(stream: trio.SocketStream) -> None:
-    """Tell a peer that no further link is taken, with a numbered code."""
+async def _refuse_connection(stream: trio.SocketStream) -> None:
+    """Refuse a connection with the result code ``PEER_BUSY``."""
     with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
         await stream.send_all(encode_refusal(ResultCode.PEER_BUSY))
     await trio.aclose_forcefully(stream)
--- a/marigoldchute/link/frames.py
+++ b/marigoldchute/link/frames.py
@@ -1,7 +1,8 @@
-"""Frames on a connection between nodes.
+"""Encoding and decoding of the frames on a connection between nodes.
 
-A frame is a nine-byte header and a body: body length (4 bytes), kind (1 byte) and
-stream number (4 bytes), all big-endian. Stream 0 belongs to the connection itself.
+A frame consists of a nine-byte header and a body. The header holds the body
+length (4 bytes), the kind (1 byte) and the stream number (4 bytes), all big-endian.
+Stream 0 belongs to the connection itself.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 
 
 class FrameKind(enum.IntEnum):
-    """Meaning of a frame's body."""
+    """Kind of a frame, which determines the meaning of its body."""
 
     HELLO = 1
     HEARTBEAT = 2
     CALL = 3
-    REPLY = 4
+    RESPONSE = 4
     FAILURE = 5
     NOTIFY = 6
     OPEN = 7
@@ -32,18 +33,18 @@
 
 
 def encode_frame(kind: int, stream: int, body: bytes) -> bytes:
-    """Return the bytes of one frame."""
+    """Return the encoded bytes of one frame."""
     return HEADER.pack(len(body), kind, stream) + body
 
 
 class FrameDecoder:
-    """Cuts a byte stream into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes | bytearray) -> list[tuple[int, int, bytes]]:
-        """Add received bytes and return the frames that are now whole.
+        """Add received bytes and return the frames that are now complete.
 
         Parameters
         ----------
@@ -58,7 +59,7 @@
         Raises
         ------
         PeerError
-            A frame announces a body over ``MAX_BODY_BYTES``.
+            A header announces a body larger than ``MAX_BODY_BYTES``.
         """
         buffer = self._buffer
         buffer += data
--- a/marigoldchute/link/handlers.py
+++ b/marigoldchute/link/handlers.py
@@ -1,4 +1,4 @@
-"""What a node does with calls and streams of its peers."""
+"""Registry of the handlers for calls and streams of peers."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Handlers:
-    """What a node does with calls, notifications and streams of its peers.
+    """Handlers for the calls, notifications and streams of peers.
 
-    Each slice registers its methods under numbers of its own; a notification is a
-    call whose result is dropped.
+    Each component registers its methods under its own method numbers. A notification
+    is a call whose result is discarded.
     """
 
     def __init__(self) -> None:
@@ -25,11 +25,11 @@
         self.stream: StreamHandler | None = None
 
     def register(self, method: int, handler: CallHandler) -> None:
-        """Serve a method number with a handler."""
+        """Register the handler of a method number."""
         if method in self._calls:
-            raise ValueError(f"method {method} is registered twice")
+            raise ValueError(f"method {method} is already registered")
         self._calls[method] = handler
 
     def find(self, method: int) -> CallHandler | None:
-        """Return the handler of a method number."""
+        """Return the handler of a method number, or None when there is none."""
         return self._calls.get(method)
--- a/marigoldchute/link/link.py
+++ b/marigoldchute/link/link.py
@@ -1,8 +1,8 @@
 """One authenticated connection between two nodes.
 
-A link multiplexes calls, notifications and streams. Both ends send heartbeats; an end
-that hears nothing for ``SILENCE_FACTOR`` heartbeat intervals closes the link, so a
-connection that something in between has forgotten does not last.
+A link multiplexes calls, notifications and streams. Both ends send heartbeats. An end
+that receives nothing for ``TIMEOUT_HEARTBEATS`` heartbeat intervals closes the link, so
+that a connection whose state a middlebox has dropped does not stay open.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 from marigoldchute.errors import MarigoldchuteError, PeerError, ResultCode
 from marigoldchute.link.frames import FrameDecoder, FrameKind, encode_frame
-from marigoldchute.link.reply import FAILURE_CODE, PendingReply
-from marigoldchute.link.stream import MAX_DATA_BYTES, Stream, encode_whole
+from marigoldchute.link.reply import FAILURE_CODE, PendingCall
+from marigoldchute.link.stream import MAX_DATA_BYTES, Stream, encode_complete_stream
 
 if TYPE_CHECKING:
     from marigoldchute.events import HybridClock
@@ -27,13 +27,13 @@
     from marigoldchute.util.tcp import Transport
 
 RECEIVE_BYTES = 262_144
-SILENCE_FACTOR = 3
-SUSPECT_FACTOR = 2.25
-HEARTBEAT_SKIP = 0.5
+TIMEOUT_HEARTBEATS = 3
+SUSPECT_HEARTBEATS = 2.25
+HEARTBEAT_IDLE_FRACTION = 0.5
 MAX_PENDING_WRITE_BYTES = 16_000_000
 _CALL_HEADER = struct.Struct(">H")
 _STAMP = struct.Struct(">Q")
-MALFORMED = (struct.error, msgspec.DecodeError, ValueError)
+DECODE_ERRORS = (struct.error, msgspec.DecodeError, ValueError)
 _STREAM_KINDS = frozenset(
     {
         FrameKind.OPEN,
@@ -46,26 +46,29 @@
 
 
 class Link:
-    """One connection; ``run`` drives it until it ends.
+    """One connection, which ``run`` drives until it closes.
 
     Parameters
     ----------
     tcp : Transport
-        Open connection after the handshake.
+        Open connection on which the handshake is complete.
+    decoder : FrameDecoder
+        Decoder that the handshake used; it may hold the start of the next frame.
     peer : PeerIdentity
-        Who is at the other end.
+        Identity of the other end.
     purpose : str
-        What the end that connected wants the link for.
+        Purpose of the link, chosen by the end that connected.
     opened_here : bool
-        Whether this end connected; decides the parity of stream numbers.
+        Whether this end connected. Determines the parity of the stream numbers that
+        this end assigns.
     handlers : Handlers
-        What to do with the peer's calls and streams.
+        Handlers for the peer's calls and streams.
     clock : HybridClock
-        Receives the peer's stamps.
+        Clock that is advanced by the peer's timestamps.
     heartbeat_ms : int
         Interval between heartbeats.
     early_frames : list of (int, int, bytes)
-        Frames that arrived together with the end of the handshake.
+        Frames that arrived together with the last frame of the handshake.
     """
 
     def __init__(
@@ -87,21 +90,21 @@
         self.bytes_sent = 0
         self.bytes_received = 0
         self._tcp = tcp
-        self._writing = False
+        self._write_in_progress = False
         self._decoder = decoder
         self._early_frames = early_frames
         self._handlers = handlers
         self._clock = clock
         self._heartbeat_s = heartbeat_ms / 1000
-        self._numbers = itertools.count(1 if opened_here else 2, 2)
+        self._stream_numbers = itertools.count(1 if opened_here else 2, 2)
         self._streams: dict[int, Stream] = {}
-        self._replies: dict[int, PendingReply] = {}
-        self._out = bytearray()
-        self._out_ready = trio.Event()
-        self._heard_at = trio.current_time()
-        self._sent_at = trio.current_time()
-        self._made_at = trio.current_time()
-        self._used_at = self._made_at
+        self._pending_calls: dict[int, PendingCall] = {}
+        self._write_buffer = bytearray()
+        self._write_ready = trio.Event()
+        self._last_received_at = trio.current_time()
+        self._last_sent_at = trio.current_time()
+        self._created_at = trio.current_time()
+        self._last_used_at = self._created_at
         self._nursery: trio.Nursery | None = None
 
     @property
@@ -111,14 +114,14 @@
 
     @property
     def suspect(self) -> bool:
-        """Whether a heartbeat of the peer is overdue, so another link is wanted."""
-        silent_s = trio.current_time() - self._heard_at
-        return silent_s > SUSPECT_FACTOR * self._heartbeat_s
+        """Whether a heartbeat of the peer is overdue, so that a new link is needed."""
+        since_received_s = trio.current_time() - self._last_received_at
+        return since_received_s > SUSPECT_HEARTBEATS * self._heartbeat_s
 
     @property
     def age_s(self) -> float:
-        """Seconds since the link was made."""
-        return trio.current_time() - self._made_at
+        """Seconds since the link was created."""
+        return trio.current_time() - self._created_at
 
     @property
     def stream_count(self) -> int:
@@ -127,16 +130,16 @@
 
     @property
     def unused_s(self) -> float:
-        """Seconds since the last stream on the link ended; 0 while one is open."""
-        return 0.0 if self._streams else trio.current_time() - self._used_at
+        """Seconds since the last stream on the link closed; 0 while one is open."""
+        return 0.0 if self._streams else trio.current_time() - self._last_used_at
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes that wait to be written."""
-        return len(self._out) + self._writing
+        """Number of bytes that are not yet written; at least 1 during a write."""
+        return len(self._write_buffer) + self._write_in_progress
 
     async def run(self) -> None:
-        """Read and write until the connection ends."""
+        """Read and write frames until the connection closes."""
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
@@ -153,36 +156,39 @@
         finally:
             self.close()
 
-    def beat(self, now: float) -> None:
-        """Send a heartbeat if nothing was sent of late; close if the peer is silent.
+    def check_heartbeat(self, now: float) -> None:
+        """Close the link if the peer timed out, else send a heartbeat if one is due.
+
+        A heartbeat is due when nothing was sent for ``HEARTBEAT_IDLE_FRACTION`` of the
+        heartbeat interval.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         """
-        if now - self._heard_at > SILENCE_FACTOR * self._heartbeat_s:
+        if now - self._last_received_at > TIMEOUT_HEARTBEATS * self._heartbeat_s:
             self.close()
-        elif now - self._sent_at > HEARTBEAT_SKIP * self._heartbeat_s:
+        elif now - self._last_sent_at > HEARTBEAT_IDLE_FRACTION * self._heartbeat_s:
             stamp = _STAMP.pack(self._clock.tick(0))
             with contextlib.suppress(PeerError):
                 self.send_now(encode_frame(FrameKind.HEARTBEAT, 0, stamp))
 
     def close(self) -> None:
-        """Close the connection and fail what is pending on it."""
+        """Close the connection and fail its streams and pending calls."""
         if self.closed.is_set():
             return
         self.closed.set()
         for stream in tuple(self._streams.values()):
-            stream.fail(ResultCode.PEER_UNREACHABLE, "connection to the peer ended")
-        for pending in tuple(self._replies.values()):
-            pending.fail(ResultCode.PEER_UNREACHABLE, "connection to the peer ended")
+            stream.fail(ResultCode.PEER_UNREACHABLE, "connection to the peer closed")
+        for pending in tuple(self._pending_calls.values()):
+            pending.fail(ResultCode.PEER_UNREACHABLE, "connection to the peer closed")
         if self._nursery is not None:
             self._nursery.cancel_scope.cancel()
         self._tcp.close()
 
     async def call(self, method: int, body: bytes, timeout_s: float) -> bytes:
-        """Call a method of the peer and wait for its reply.
+        """Call a method of the peer and wait for its response.
 
         Parameters
         ----------
@@ -196,31 +202,31 @@
         Returns
         -------
         bytes
-            Encoded reply.
+            Encoded response.
 
         Raises
         ------
         PeerError
-            No reply in time, the link ended, or the peer answered with a failure.
+            The call timed out, the link closed, or the peer returned a failure.
         """
-        number = next(self._numbers)
-        pending = PendingReply()
-        self._replies[number] = pending
+        number = next(self._stream_numbers)
+        pending = PendingCall()
+        self._pending_calls[number] = pending
         try:
             self.send_frame(FrameKind.CALL, number, _CALL_HEADER.pack(method) + body)
             with trio.move_on_after(timeout_s):
                 await pending.done.wait()
         finally:
-            del self._replies[number]
+            del self._pending_calls[number]
         return pending.result()
 
     def notify(self, method: int, body: bytes) -> None:
-        """Send a message without waiting for a reply.
+        """Send a message without waiting for a response.
 
         Raises
         ------
         PeerError
-            The link has ended, or the peer has not read for too long.
+            The link is closed, or the peer does not read and the write buffer is full.
         """
         self.send_frame(FrameKind.NOTIFY, 0, _CALL_HEADER.pack(method) + body)
 
@@ -230,24 +236,24 @@
         Parameters
         ----------
         head : bytes
-            Head of the stream.
+            Head of the request.
         data : bytes, optional
-            All data that will be sent, with which the sending direction ends; at most
-            ``MAX_DATA_BYTES``.
+            All data of the sending direction, at most ``MAX_DATA_BYTES``. The
+            direction is then finished.
 
         Raises
         ------
         PeerError
-            The link has ended, or the peer has not read for too long.
+            The link is closed, or the peer does not read and the write buffer is full.
         """
-        stream = Stream(self, next(self._numbers), head)
+        stream = Stream(self, next(self._stream_numbers), head)
         number = stream.number
         if data is None:
             frames = encode_frame(FrameKind.OPEN, number, head)
         else:
             if len(data) > MAX_DATA_BYTES:
-                raise ValueError(f"{len(data)} bytes do not fit one frame")
-            frames = encode_whole(number, head, data)
+                raise ValueError(f"{len(data)} bytes do not fit into one frame")
+            frames = encode_complete_stream(number, head, data)
             stream.finished_sending = True
         self._streams[number] = stream
         try:
@@ -258,30 +264,30 @@
         return stream
 
     def forget_stream(self, stream: Stream) -> None:
-        """Drop a stream whose both directions are over."""
+        """Remove a stream after both of its directions have finished."""
         self._streams.pop(stream.number, None)
-        self._used_at = trio.current_time()
+        self._last_used_at = trio.current_time()
 
     def send_frame(self, kind: int, stream: int, body: bytes) -> None:
-        """Queue one frame for the writer.
+        """Queue one frame for the writer task.
 
         Raises
         ------
         PeerError
-            The link has ended, or the peer has not read for too long.
+            The link is closed, or the peer does not read and the write buffer is full.
         """
-        self._queue(encode_frame(kind, stream, body))
+        self._queue_frames(encode_frame(kind, stream, body))
 
     def send_now(self, frames: bytes) -> None:
-        """Write encoded frames at once; queue what the kernel does not take.
+        """Write encoded frames at once and queue what the kernel does not accept.
 
         Raises
         ------
         PeerError
-            The link has ended, or the peer has not read for too long.
+            The link is closed, or the peer does not read and the write buffer is full.
         """
-        if self._out or self._writing or self.closed.is_set():
-            self._queue(frames)
+        if self._write_buffer or self._write_in_progress or self.closed.is_set():
+            self._queue_frames(frames)
             return
         try:
             sent = self._tcp.send_now(frames)
@@ -289,70 +295,70 @@
             self.close()
             raise PeerError(f"connection to the peer broke: {exc}") from exc
         self.bytes_sent += sent
-        self._sent_at = trio.current_time()
+        self._last_sent_at = trio.current_time()
         if sent < len(frames):
-            self._queue(frames[sent:])
+            self._queue_frames(frames[sent:])
 
-    def _queue(self, frames: bytes) -> None:
+    def _queue_frames(self, frames: bytes) -> None:
         if self.closed.is_set():
-            raise PeerError("connection to the peer ended")
-        self._out += frames
-        if len(self._out) > MAX_PENDING_WRITE_BYTES:
+            raise PeerError("connection to the peer closed")
+        self._write_buffer += frames
+        if len(self._write_buffer) > MAX_PENDING_WRITE_BYTES:
             self.close()
-            raise PeerError("peer does not read")
-        self._out_ready.set()
+            raise PeerError("peer does not read: the write buffer is full")
+        self._write_ready.set()
 
     async def _write_frames(self) -> None:
         while True:
-            if not self._out:
-                self._out_ready = trio.Event()
-                await self._out_ready.wait()
-            data, self._out = self._out, bytearray()
+            if not self._write_buffer:
+                self._write_ready = trio.Event()
+                await self._write_ready.wait()
+            data, self._write_buffer = self._write_buffer, bytearray()
             self.bytes_sent += len(data)
-            self._sent_at = trio.current_time()
-            self._writing = True
+            self._last_sent_at = trio.current_time()
+            self._write_in_progress = True
             await self._tcp.send(data)
-            self._writing = False
+            self._write_in_progress = False
 
     async def _read_frames(self) -> None:
         for frame in self._early_frames:
-            self._take_frame(*frame)
+            self._handle_frame(*frame)
         while True:
             data = await self._tcp.receive(RECEIVE_BYTES)
             if not data:
                 return
-            self._heard_at = trio.current_time()
+            self._last_received_at = trio.current_time()
             self.bytes_received += len(data)
             for kind, number, body in self._decoder.feed(data):
-                self._take_checked_frame(kind, number, body)
+                self._handle_received_frame(kind, number, body)
 
-    def _take_checked_frame(self, kind: int, number: int, body: bytes) -> None:
+    def _handle_received_frame(self, kind: int, number: int, body: bytes) -> None:
         try:
-            self._take_frame(kind, number, body)
-        except MALFORMED as exc:
+            self._handle_frame(kind, number, body)
+        except DECODE_ERRORS as exc:
             raise PeerError(
                 f"frame of kind {kind} is malformed: {exc}", ResultCode.PEER_PROTOCOL
             ) from exc
 
-    def _take_frame(self, kind: int, number: int, body: bytes) -> None:
+    def _handle_frame(self, kind: int, number: int, body: bytes) -> None:
         if kind in _STREAM_KINDS:
-            self._take_stream_frame(kind, number, body)
+            self._handle_stream_frame(kind, number, body)
         elif kind == FrameKind.HEARTBEAT:
             self._clock.observe(_STAMP.unpack(body)[0])
-        elif kind in (FrameKind.REPLY, FrameKind.FAILURE):
-            pending = self._replies.get(number)
+        elif kind in (FrameKind.RESPONSE, FrameKind.FAILURE):
+            pending = self._pending_calls.get(number)
             if pending is not None:
-                pending.take(kind, body)
+                pending.handle_response(kind, body)
         elif kind in (FrameKind.CALL, FrameKind.NOTIFY):
             assert self._nursery is not None
             self._nursery.start_soon(self._serve_call, kind, number, body)
         else:
-            raise PeerError(f"frame of kind {kind}", ResultCode.PEER_PROTOCOL)
+            raise PeerError(f"frame of unknown kind {kind}", ResultCode.PEER_PROTOCOL)
 
-    def _take_stream_frame(self, kind: int, number: int, body: bytes) -> None:
+    def _handle_stream_frame(self, kind: int, number: int, body: bytes) -> None:
         stream = self._streams.get(number)
         if stream is not None:
-            stream.take_frame(kind, body)
+            stream.handle_frame(kind, body)
             return
         opened_by_peer = number % 2 == (0 if self.opened_here else 1)
         if kind != FrameKind.OPEN or not opened_by_peer:
@@ -370,7 +376,7 @@
             await self._handlers.stream(stream)
         except PeerError:
             pass
-        except MALFORMED:
+        except DECODE_ERRORS:
             if self.alive:
                 stream.reset(ResultCode.PEER_PROTOCOL)
         finally:
@@ -378,23 +384,23 @@
 
     async def _serve_call(self, kind: int, number: int, body: bytes) -> None:
         try:
-            reply = await self._handle_call(body)
+            response = await self._handle_call(body)
         except MarigoldchuteError as exc:
             if kind == FrameKind.CALL and self.alive:
                 failure = FAILURE_CODE.pack(exc.code) + exc.message.encode()
                 self.send_frame(FrameKind.FAILURE, number, failure)
             return
         if kind == FrameKind.CALL and self.alive:
-            self.send_frame(FrameKind.REPLY, number, reply)
+            self.send_frame(FrameKind.RESPONSE, number, response)
 
     async def _handle_call(self, body: bytes) -> bytes:
         try:
             (method,) = _CALL_HEADER.unpack_from(body)
             handler = self._handlers.find(method)
             if handler is None:
-                raise PeerError(f"method {method} unknown", ResultCode.PEER_PROTOCOL)
+                raise PeerError(f"method {method} is unknown", ResultCode.PEER_PROTOCOL)
             return await handler(self, body[_CALL_HEADER.size :])
-        except MALFORMED as exc:
+        except DECODE_ERRORS as exc:
             raise PeerError(
                 f"call is malformed: {exc}", ResultCode.PEER_PROTOCOL
             ) from exc
--- a/marigoldchute/link/methods.py
+++ b/marigoldchute/link/methods.py
@@ -1,4 +1,4 @@
-"""Numbers of the methods that nodes call on one another."""
+"""Numbers of the methods that nodes call on each other."""
 
 from __future__ import annotations
 
--- a/marigoldchute/link/pool.py
+++ b/marigoldchute/link/pool.py
@@ -1,4 +1,4 @@
-"""Links to any member, opened when needed and closed when idle."""
+"""Pool of links to members, opened on demand and closed when idle."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     from marigoldchute.link.endpoint import LinkEndpoint
     from marigoldchute.link.link import Link
 
-IDLE_CLOSE_S = 60.0
-SWEEP_S = 5.0
+IDLE_TIMEOUT_S = 60.0
+SWEEP_INTERVAL_S = 5.0
 
 
 class LinkPool:
-    """One link for each peer in use.
+    """Keeps one link to each peer that is in use.
 
     Parameters
     ----------
@@ -28,10 +28,10 @@
     purpose : str
         ``control`` or ``traffic``.
     address_of : callable
-        Returns the address and port of a member by name, or None.
-    shared : callable, optional
-        Returns a link to a member that is held for another purpose and can be used,
-        or None.
+        Returns the address and port of a member by name, or None when it is unknown.
+    find_shared_link : callable, optional
+        Returns a usable link to a member that was opened for another purpose, or
+        None.
     """
 
     def __init__(
@@ -39,36 +39,38 @@
         endpoint: LinkEndpoint,
         purpose: str,
         address_of: Callable[[str], tuple[str, int] | None],
-        shared: Callable[[str], Link | None] | None = None,
+        find_shared_link: Callable[[str], Link | None] | None = None,
     ) -> None:
         self._endpoint = endpoint
         self._purpose = purpose
         self._address_of = address_of
-        self._shared = shared
+        self._find_shared_link = find_shared_link
         self._links: dict[str, Link] = {}
         self._locks: dict[str, trio.Lock] = {}
-        self._used_at: dict[str, float] = {}
-        self._retired: list[Link] = []
+        self._last_used_at: dict[str, float] = {}
+        self._retired_links: list[Link] = []
         self._nursery: trio.Nursery | None = None
 
     def live(self, name: str) -> Link | None:
-        """Return the open link to a member, if one is heard."""
-        link = self._shared(name) if self._shared is not None else None
+        """Return an open link to a member that is not suspected, or None."""
+        link = (
+            self._find_shared_link(name) if self._find_shared_link is not None else None
+        )
         if link is not None:
             return link
         link = self._links.get(name)
         if link is None or not link.alive or link.suspect:
             return None
-        self._used_at[name] = trio.current_time()
+        self._last_used_at[name] = trio.current_time()
         return link
 
     async def get(self, name: str) -> Link:
-        """Return a link to a member, opening it when needed.
+        """Return a link to a member, opening one if needed.
 
         Raises
         ------
         PeerError
-            The member is not known or cannot be reached.
+            The member is unknown or cannot be reached.
         AuthError
             The peer does not hold the shared secret.
         """
@@ -85,76 +87,76 @@
     async def call(
         self, name: str, method: int, body: bytes, timeout_s: float
     ) -> bytes:
-        """Call a method of a member, opening a link when needed.
+        """Call a method of a member, opening a link if needed.
 
         Parameters
         ----------
         name : str
-            Member.
+            Name of the member.
         method : int
             Method number.
         body : bytes
             Encoded message.
         timeout_s : float
-            Time limit in seconds of opening and calling together.
+            Time limit in seconds for opening the link and the call together.
 
         Returns
         -------
         bytes
-            Encoded reply.
+            Encoded response.
 
         Raises
         ------
         PeerError
-            No reply in time, or the member cannot be reached.
+            The call timed out, or the member cannot be reached.
         AuthError
             The peer does not hold the shared secret.
         """
         with trio.move_on_after(timeout_s):
             link = await self.get(name)
             return await link.call(method, body, timeout_s)
-        raise PeerError(f"{name!r} did not reply in time", ResultCode.PEER_TIMEOUT)
+        raise PeerError(f"{name!r} did not respond in time", ResultCode.PEER_TIMEOUT)
 
     async def _open(self, name: str) -> Link:
-        target = self._address_of(name)
-        if target is None:
-            raise PeerError(f"member {name!r} is not known")
-        link = await self._endpoint.connect(*target, self._purpose)
+        peer_address = self._address_of(name)
+        if peer_address is None:
+            raise PeerError(f"member {name!r} is unknown")
+        link = await self._endpoint.connect(*peer_address, self._purpose)
         if link.peer.name != name:
             link.close()
-            raise PeerError(f"{link.peer.name!r} answered for {name!r}")
+            raise PeerError(f"{link.peer.name!r} responded instead of {name!r}")
         self._retire(name)
         self._links[name] = link
-        self._used_at[name] = trio.current_time()
+        self._last_used_at[name] = trio.current_time()
         assert self._nursery is not None
         self._nursery.start_soon(self._endpoint.run_link, link)
         return link
 
     def _retire(self, name: str) -> None:
-        """Let the streams of a replaced link end before it is closed."""
+        """Keep a replaced link open until its streams have closed."""
         link = self._links.pop(name, None)
         if link is not None and link.alive:
-            self._retired.append(link)
+            self._retired_links.append(link)
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Drive the links and close idle ones until cancelled."""
+        """Drive the links and close idle links until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
             while True:
-                await trio.sleep(SWEEP_S)
-                self._sweep(trio.current_time())
+                await trio.sleep(SWEEP_INTERVAL_S)
+                self._close_idle_links(trio.current_time())
 
-    def _sweep(self, now: float) -> None:
-        for link in self._retired:
+    def _close_idle_links(self, now: float) -> None:
+        for link in self._retired_links:
             if link.stream_count == 0:
                 link.close()
-        self._retired = [link for link in self._retired if link.alive]
+        self._retired_links = [link for link in self._retired_links if link.alive]
         for name, link in tuple(self._links.items()):
-            idle = now - self._used_at.get(name, now) > IDLE_CLOSE_S
-            if idle and link.stream_count == 0:
+            is_idle = now - self._last_used_at.get(name, now) > IDLE_TIMEOUT_S
+            if is_idle and link.stream_count == 0:
                 link.close()
             if not link.alive:
                 del self._links[name]
--- a/marigoldchute/link/reply.py
+++ b/marigoldchute/link/reply.py
@@ -1,4 +1,4 @@
-"""A call to a peer that waits for its reply."""
+"""State of a call to a peer that waits for its response."""
 
 from __future__ import annotations
 
@@ -12,38 +12,38 @@
 FAILURE_CODE = struct.Struct(">I")
 
 
-class PendingReply:
-    """A call that waits for its reply."""
+class PendingCall:
+    """Call that waits for its response."""
 
     def __init__(self) -> None:
         self.done = trio.Event()
-        self._reply: bytes | None = None
+        self._response: bytes | None = None
         self._error: PeerError | None = None
 
-    def take(self, kind: int, body: bytes) -> None:
-        """Take the peer's reply or failure."""
-        if kind == FrameKind.REPLY:
-            self._reply = body
+    def handle_response(self, kind: int, body: bytes) -> None:
+        """Store the peer's response or failure and wake up the waiting task."""
+        if kind == FrameKind.RESPONSE:
+            self._response = body
         else:
             code = ResultCode(FAILURE_CODE.unpack_from(body)[0])
             self._error = PeerError(body[FAILURE_CODE.size :].decode(), code)
         self.done.set()
 
     def fail(self, code: ResultCode, message: str) -> None:
-        """Take note that no reply will come."""
+        """Record that no response will arrive and wake up the waiting task."""
         self._error = PeerError(message, code)
         self.done.set()
 
     def result(self) -> bytes:
-        """Return the reply.
+        """Return the response.
 
         Raises
         ------
         PeerError
-            The call failed, or no reply has come.
+            The call failed, or no response has arrived.
         """
         if self._error is not None:
             raise self._error
-        if self._reply is None:
-            raise PeerError("peer did not reply in time", ResultCode.PEER_TIMEOUT)
-        return self._reply
+        if self._response is None:
+            raise PeerError("peer did not respond in time", ResultCode.PEER_TIMEOUT)
+        return self._response
--- a/marigoldchute/link/stats.py
+++ b/marigoldchute/link/stats.py
@@ -1,4 +1,4 @@
-"""What a node spends: bytes on its links, processor time and memory."""
+"""Resource usage of a node: bytes on its links, processor time and memory."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ByteTotals:
-    """Bytes on links since the process started.
+    """Bytes transferred on links since the process started.
 
     Parameters
     ----------
@@ -28,30 +28,30 @@
     received: int = 0
 
     def plus(self, sent: int, received: int) -> ByteTotals:
-        """Return the totals with further bytes added."""
+        """Return new totals with bytes added."""
         return ByteTotals(self.sent + sent, self.received + received)
 
 
 @dataclasses.dataclass(frozen=True)
 class NodeStats:
-    """Resources spent by one node process since it started.
+    """Resources that one node process has used since it started.
 
     Parameters
     ----------
     control_bytes_sent, control_bytes_received : int
-        Bytes on links other than those for requests.
+        Bytes on control links and other links that carry no requests.
     traffic_bytes_sent, traffic_bytes_received : int
-        Bytes on links for requests.
+        Bytes on links that carry requests.
     links : int
         Open links of any purpose.
     members : int
-        Members known, those that are gone left out.
+        Number of known members, excluding members that are gone.
     cpu_s : float
         Processor time in seconds.
     rss : int
         Resident memory in bytes.
     uptime_s : float
-        Monotonic seconds since the process started.
+        Seconds since the process started, on a monotonic clock.
     """
 
     control_bytes_sent: int
@@ -66,22 +66,22 @@
 
 
 def collect_stats(endpoint: LinkEndpoint, members: int, uptime_s: float) -> NodeStats:
-    """Return what this process has spent.
+    """Return the resources that this process has used.
 
     Parameters
     ----------
     endpoint : LinkEndpoint
-        Counts the bytes of the links.
+        Endpoint that counts the bytes of the links.
     members : int
-        Members known.
+        Number of known members.
     uptime_s : float
-        Monotonic seconds since the process started.
+        Seconds since the process started, on a monotonic clock.
     """
     totals = endpoint.byte_totals()
     traffic = totals.pop(TRAFFIC_PURPOSE, ByteTotals())
     return NodeStats(
-        control_bytes_sent=sum(item.sent for item in totals.values()),
-        control_bytes_received=sum(item.received for item in totals.values()),
+        control_bytes_sent=sum(total.sent for total in totals.values()),
+        control_bytes_received=sum(total.received for total in totals.values()),
         traffic_bytes_sent=traffic.sent,
         traffic_bytes_received=traffic.received,
         links=len(endpoint.links),
--- a/marigoldchute/link/stream.py
+++ b/marigoldchute/link/stream.py
@@ -1,4 +1,4 @@
-"""One request and its answer on a connection between nodes, with flow control."""
+"""Stream for one request and its response inside a link, with flow control."""
 
 from __future__ import annotations
 
@@ -16,120 +16,121 @@
     from marigoldchute.link.link import Link
 
 WINDOW_BYTES = 262_144
-CREDIT_BYTES = WINDOW_BYTES // 2
+CREDIT_THRESHOLD_BYTES = WINDOW_BYTES // 2
 MAX_DATA_BYTES = 65_536
 _U32 = struct.Struct(">I")
 
 
 class StreamResetError(PeerError):
-    """The peer, or the loss of the connection, ended a stream early.
+    """A stream was ended early by the peer or by the loss of the connection.
 
     Parameters
     ----------
     message : str
         Short sentence.
     code : ResultCode
-        Code given by the peer, or ``PEER_UNREACHABLE`` when the connection ended.
+        Code sent by the peer, or ``PEER_UNREACHABLE`` when the connection closed.
     """
 
 
 class Stream:
-    """Two-way ordered bytes with a head each way, inside a link.
+    """Bidirectional ordered byte stream inside a link, with a head in each direction.
 
     The end that opens a stream sends its head with ``Link.open_stream``; the other
-    end answers with ``send_head``. Every piece of data is acknowledged by credit, so
-    a slow reader holds at most ``WINDOW_BYTES``.
+    end responds with ``send_head``. The receiver returns credit for the data that it
+    has consumed, so a slow reader buffers at most ``WINDOW_BYTES``.
     """
 
     def __init__(self, link: Link, number: int, head: bytes) -> None:
         self.link = link
         self.number = number
         self.head = head
-        self._chunks: list[bytes] = []  # Few; a deque takes 760 bytes even when empty.
+        # A list, because it holds few items and even an empty deque takes 760 bytes.
+        self._received_data: list[bytes] = []
         self._peer_head: bytes | None = None
-        self._ended = False
+        self._peer_finished = False
         self._error: StreamResetError | None = None
-        self._credit = WINDOW_BYTES
-        self._consumed = 0
+        self._send_credit = WINDOW_BYTES
+        self._uncredited_bytes = 0
         self._readable = trio.Event()
         self._writable = trio.Event()
         self.finished_sending = False
         self._on_cancel: Callable[[], None] | None = None
 
     async def receive_head(self) -> bytes:
-        """Wait for the head of the answer."""
+        """Wait for the head of the response and return it."""
         while self._peer_head is None:
-            self._raise_error()
+            self._raise_if_failed()
             await self._wait_readable()
         return self._peer_head
 
     async def receive(self) -> bytes | None:
-        """Return the next piece of data, or None at the whole end.
+        """Return the next data, or None when the peer has finished sending.
 
         Raises
         ------
         StreamResetError
-            The data ends before its whole end.
+            The stream ended before the peer finished sending.
         """
-        while not self._chunks:
-            self._raise_error()
-            if self._ended:
+        while not self._received_data:
+            self._raise_if_failed()
+            if self._peer_finished:
                 return None
             await self._wait_readable()
-        chunk = self._chunks.pop(0)
-        self._consumed += len(chunk)
-        if self._consumed >= CREDIT_BYTES and not self._ended:
-            credit = _U32.pack(self._consumed)
+        data = self._received_data.pop(0)
+        self._uncredited_bytes += len(data)
+        if self._uncredited_bytes >= CREDIT_THRESHOLD_BYTES and not self._peer_finished:
+            credit = _U32.pack(self._uncredited_bytes)
             self.link.send_now(encode_frame(FrameKind.CREDIT, self.number, credit))
-            self._consumed = 0
-        return chunk
+            self._uncredited_bytes = 0
+        return data
 
     def take_whole(self) -> bytes | None:
-        """Return all data if its whole end has arrived, else None."""
-        if not self._ended or self._error is not None:
+        """Return all data if the peer has finished sending, else None."""
+        if not self._peer_finished or self._error is not None:
             return None
-        if len(self._chunks) == 1:
-            return self._chunks.pop()
-        data = b"".join(self._chunks)
-        self._chunks.clear()
+        if len(self._received_data) == 1:
+            return self._received_data.pop()
+        data = b"".join(self._received_data)
+        self._received_data.clear()
         return data
 
     def on_cancel(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` when the stream ends early, now if it has."""
+        """Call ``callback`` when the stream ends early, at once if it already has."""
         self._on_cancel = callback
         if self._error is not None:
             callback()
 
     def send_head(self, head: bytes) -> None:
-        """Send the head of the answer."""
-        self._raise_error()
+        """Send the head of the response."""
+        self._raise_if_failed()
         self.link.send_now(encode_frame(FrameKind.OPEN, self.number, head))
 
     async def send_whole(self, head: bytes, data: bytes) -> None:
-        """Send the head of the answer, all data and the whole end."""
-        if len(data) > MAX_DATA_BYTES or len(data) > self._credit:
+        """Send the head of the response and all data, and finish sending."""
+        if len(data) > MAX_DATA_BYTES or len(data) > self._send_credit:
             self.send_head(head)
             await self.send(data)
             self.send_end()
             return
-        self._raise_error()
+        self._raise_if_failed()
         self.finished_sending = True
-        self.link.send_now(encode_whole(self.number, head, data))
+        self.link.send_now(encode_complete_stream(self.number, head, data))
 
     async def send(self, data: bytes) -> None:
-        """Send data, waiting for credit."""
+        """Send data, waiting for credit from the peer."""
         for start in range(0, len(data), MAX_DATA_BYTES):
-            piece = data[start : start + MAX_DATA_BYTES]
-            while self._credit <= 0:
-                self._raise_error()
+            segment = data[start : start + MAX_DATA_BYTES]
+            while self._send_credit <= 0:
+                self._raise_if_failed()
                 self._writable = trio.Event()
                 await self._writable.wait()
-            self._raise_error()
-            self._credit -= len(piece)
-            self.link.send_now(encode_frame(FrameKind.DATA, self.number, piece))
+            self._raise_if_failed()
+            self._send_credit -= len(segment)
+            self.link.send_now(encode_frame(FrameKind.DATA, self.number, segment))
 
     def send_end(self) -> None:
-        """Say that the data sent is whole."""
+        """Notify the peer that all data has been sent."""
         if not self.finished_sending:
             self.finished_sending = True
             self.link.send_now(encode_frame(FrameKind.END, self.number, b""))
@@ -138,13 +139,13 @@
         """End the stream early in both directions."""
         if self._error is not None:
             return
-        self.fail(code, "stream was reset here")
+        self.fail(code, "stream was reset by this node")
         if self.link.alive:
             body = _U32.pack(code)
             self.link.send_now(encode_frame(FrameKind.RESET, self.number, body))
 
     def fail(self, code: ResultCode, message: str) -> None:
-        """Take note that the stream ended early."""
+        """Record that the stream ended early and wake up the waiting tasks."""
         if self._error is None:
             self._error = StreamResetError(message, code)
         self._readable.set()
@@ -152,23 +153,23 @@
         if self._on_cancel is not None:
             self._on_cancel()
 
-    def take_frame(self, kind: int, body: bytes) -> None:
-        """Take one frame of this stream from the link's reader."""
+    def handle_frame(self, kind: int, body: bytes) -> None:
+        """Handle one frame of this stream that the link has read."""
         if kind == FrameKind.DATA:
-            self._chunks.append(body)
+            self._received_data.append(body)
         elif kind == FrameKind.OPEN:
             self._peer_head = body
         elif kind == FrameKind.END:
-            self._ended = True
+            self._peer_finished = True
         elif kind == FrameKind.CREDIT:
-            self._credit += _U32.unpack(body)[0]
+            self._send_credit += _U32.unpack(body)[0]
             self._writable.set()
             return
         elif kind == FrameKind.RESET:
-            self.fail(_decode_code(body), "peer reset the stream")
+            self.fail(_decode_result_code(body), "peer reset the stream")
         self._readable.set()
 
-    def _raise_error(self) -> None:
+    def _raise_if_failed(self) -> None:
         if self._error is not None:
             raise StreamResetError(self._error.message, self._error.code)
 
@@ -177,15 +178,15 @@
         await self._readable.wait()
 
 
-def encode_whole(number: int, head: bytes, data: bytes) -> bytes:
-    """Return the frames of a head, all data and the whole end."""
+def encode_complete_stream(number: int, head: bytes, data: bytes) -> bytes:
+    """Return the frames of a head, all data and the end of the stream."""
     frames = encode_frame(FrameKind.OPEN, number, head)
     if data:
         frames += encode_frame(FrameKind.DATA, number, data)
     return frames + encode_frame(FrameKind.END, number, b"")
 
 
-def _decode_code(body: bytes) -> ResultCode:
+def _decode_result_code(body: bytes) -> ResultCode:
     try:
         return ResultCode(_U32.unpack(body)[0])
     except (ValueError, struct.error):
--- a/tests/test_link/test_malformed.py
+++ b/tests/test_link/test_malformed.py
@@ -1,4 +1,4 @@
-"""Malformed frames from a peer."""
+"""Tests that malformed frames from a peer are handled without a crash."""
 
 from __future__ import annotations
 
@@ -29,33 +29,37 @@
 )
 
 
-async def _decode(link: Link, body: bytes) -> bytes:
+async def _decode_and_encode(link: Link, body: bytes) -> bytes:
     return msgspec.msgpack.encode(msgspec.msgpack.decode(body, type=list[int]))
 
 
-async def _read_all(stream: Stream) -> None:
+async def _read_stream(stream: Stream) -> None:
     msgspec.msgpack.decode(stream.head, type=list[int])
     while await stream.receive() is not None:
         pass
 
 
-def _handlers() -> Handlers:
+def _create_handlers() -> Handlers:
     handlers = Handlers()
     for method in range(4):
-        handlers.register(method, _decode)
-    handlers.stream = _read_all
+        handlers.register(method, _decode_and_encode)
+    handlers.stream = _read_stream
     return handlers
 
 
 class MalformedFrameTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(FRAMES)
-    def test_link_survives_or_ends_without_an_error(
+    def test_any_frames_leave_the_link_open_or_close_it_without_an_error(
         self, frames: list[tuple[int, int, bytes]]
     ) -> None:
-        trio.run(self._feed, frames, clock=trio.testing.MockClock(autojump_threshold=0))
+        trio.run(
+            self._send_to_link,
+            frames,
+            clock=trio.testing.MockClock(autojump_threshold=0),
+        )
 
-    async def _feed(self, frames: list[tuple[int, int, bytes]]) -> None:
+    async def _send_to_link(self, frames: list[tuple[int, int, bytes]]) -> None:
         ours, theirs = trio.testing.memory_stream_pair()
         peer = PeerIdentity("peer", 1, "a", "r")
         link = Link(
@@ -64,7 +68,7 @@
             peer,
             "control",
             False,
-            _handlers(),
+            _create_handlers(),
             HybridClock(),
             1000,
             early_frames=[],
@@ -82,16 +86,18 @@
 
     @settings(derandomize=True, max_examples=200)
     @given(st.lists(st.binary(max_size=20), max_size=10))
-    def test_decoder_cuts_alike_however_the_bytes_arrive(
+    def test_decoder_returns_the_same_frames_for_single_bytes(
         self, bodies: list[bytes]
     ) -> None:
         data = b"".join(encode_frame(3, 7, body) for body in bodies)
-        whole = FrameDecoder().feed(data)
+        frames_at_once = FrameDecoder().feed(data)
         decoder = FrameDecoder()
-        pieces = [frame for byte in data for frame in decoder.feed(bytes([byte]))]
-        self.assertEqual(whole, pieces)
-        self.assertEqual([body for _, _, body in whole], bodies)
+        frames_by_byte = [
+            frame for byte in data for frame in decoder.feed(bytes([byte]))
+        ]
+        self.assertEqual(frames_at_once, frames_by_byte)
+        self.assertEqual([body for _, _, body in frames_at_once], bodies)
 
-    def test_giant_frame_is_refused(self) -> None:
+    def test_frame_over_the_size_limit_raises_an_error(self) -> None:
         with self.assertRaises(PeerError):
             FrameDecoder().feed(b"\xff\xff\xff\xff\x03\x00\x00\x00\x01")
--- a/tests/test_link/test_stats.py
+++ b/tests/test_link/test_stats.py
@@ -1,4 +1,4 @@
-"""Resources spent by a node, as its administration API tells them."""
+"""Tests of the resource usage that a node's administration API reports."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 class NodeStatsTest(MeshTestCase):
     centres = 1
 
-    def test_stats_count_control_bytes_links_and_processor_time(self) -> None:
-        self.run_async(self._read_stats, 30)
+    def test_stats_report_control_bytes_links_cpu_time_and_memory(self) -> None:
+        self.run_async(self._check_stats, 30)
 
-    async def _read_stats(self) -> None:
+    async def _check_stats(self) -> None:
         self.start_nodes()
         await self.mesh.wait_until("cartago-norte-1", lambda s: len(s.members) == 2)
         client = self.mesh.admin("cartago-norte-1")
