--- a/marigoldchute/config.py
+++ b/marigoldchute/config.py
@@ -1,4 +1,4 @@
-"""Settings of a node, read from JSON with comments and checked."""
+"""Settings of a node: parsing from JSON with comments, and validation."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-KEY_BYTES = 32
-MIN_SECRET_LENGTH = 16
+PUBLIC_KEY_BYTES = 32
+MIN_SECRET_CHARS = 16
 
 Name = Annotated[
     str,
@@ -28,12 +28,12 @@
 ]
 ClockErrorMs = Annotated[int, msgspec.Meta(ge=0, le=60_000)]
 HeartbeatMs = Annotated[int, msgspec.Meta(ge=50, le=60_000)]
-FenceMs = Annotated[int, msgspec.Meta(ge=1000, le=600_000)]
+FenceAfterMs = Annotated[int, msgspec.Meta(ge=1000, le=600_000)]
 MIN_FENCE_HEARTBEATS = 4
 
 
 class DistributionMode(enum.StrEnum):
-    """How bundles reach a node: by one reader and peers, or each by itself."""
+    """How bundles reach a node: relayed by a reader and peers, or from the store."""
 
     RELAYED = "relayed"
     DIRECT = "direct"
@@ -41,12 +41,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class TrustedKey:
-    """Public key whose signature makes a bundle valid.
+    """Public key that verifies the signatures of bundles.
 
     Parameters
     ----------
     key_id : str
-        Name under which a signature refers to the key.
+        Name by which a signature refers to the key.
     public_key : str
         Ed25519 public key, 32 bytes in base64.
     """
@@ -64,37 +64,38 @@
     name : str
         Unique name of the VM.
     address : str
-        IP number on which the node listens.
+        IP address on which the node listens.
     data_centre, region : str
-        Place of the VM.
+        Location of the VM.
     store : StoreSettings
-        The platform's object API.
+        Connection to the platform's object API.
     trusted_keys : tuple of TrustedKey
         Keys that may sign bundles.
     seeds : tuple of str
-        ``address:port`` of peers to try first when joining.
+        ``address:port`` of the peers that the node contacts first when it joins.
     advertise_address : str
-        IP number under which peers reach the node; ``address`` when empty.
+        IP address at which peers reach the node; ``address`` when empty.
     caller_port, internal_port, peer_port, admin_port : int
         TCP ports for callers, local backend servers, peers and operators.
     peer_secret, admin_token : str
-        Shared secrets of peers and operators, at least ``MIN_SECRET_LENGTH``
+        Shared secrets of peers and operators, at least ``MIN_SECRET_CHARS``
         characters each.
     accepted_peer_secrets : tuple of str
-        Further secrets with which peers may prove themselves while ``peer_secret`` is
+        Additional secrets that are accepted from peers while ``peer_secret`` is being
         replaced.
     clock_error_ms : int
-        Greatest difference between a VM's clock and true time.
+        Maximum difference between a VM's clock and true time.
     heartbeat_ms : int
         Interval between heartbeats on an idle connection.
     clock_offset_ms : int
-        Added to the machine's clock, for tests.
+        Offset added to the machine's clock, for tests.
     move_evidence : bool
-        Whether the outcomes of requests act on moves; benches compare without.
+        Whether the outcomes of requests influence moves. Benchmarks turn it off to
+        measure the difference.
     distribution : DistributionMode
-        How bundles reach this node; benches compare with ``direct``.
+        How bundles reach this node. Benchmarks use ``direct`` for comparison.
     fence_after_ms : int
-        Time without contact to other members after which requests are refused.
+        Time without contact to other members after which the node refuses requests.
     """
 
     name: Name
@@ -117,28 +118,28 @@
     clock_offset_ms: int = 0
     move_evidence: bool = True
     distribution: DistributionMode = DistributionMode.RELAYED
-    fence_after_ms: FenceMs = 20_000
+    fence_after_ms: FenceAfterMs = 20_000
 
 
 def parse_node_settings(value: Any, source: str) -> NodeSettings:
-    """Check decoded settings and return them as a dataclass.
+    """Validate decoded settings and return them as a dataclass.
 
     Parameters
     ----------
     value : Any
         Decoded JSON value.
     source : str
-        File name for messages.
+        File name for error messages.
 
     Returns
     -------
     NodeSettings
-        Checked settings.
+        Validated settings.
 
     Raises
     ------
     SettingsError
-        A missing or unknown key, or a value that is not allowed.
+        A key is missing or unknown, or a value is not allowed.
     """
     try:
         cfg = convert(value, NodeSettings)
@@ -146,7 +147,7 @@
         _check_ports(cfg)
         _check_keys(cfg.trusted_keys)
         _check_secrets(cfg)
-        _check_fence(cfg)
+        _check_fence_timeout(cfg)
     except ConversionError as exc:
         raise SettingsError(f"{source}: {exc}") from exc
     return cfg
@@ -158,22 +159,22 @@
     Parameters
     ----------
     path : str
-        File of JSON with comments.
+        Path of a JSON file, which may contain comments.
 
     Returns
     -------
     NodeSettings
-        Checked settings.
+        Validated settings.
 
     Raises
     ------
     SettingsError
-        The file cannot be read, parsed or is not allowed.
+        The file cannot be read or parsed, or its settings are not allowed.
     """
     return parse_node_settings(load_file(path), path)
 
 
-def _check_fence(cfg: NodeSettings) -> None:
+def _check_fence_timeout(cfg: NodeSettings) -> None:
     if cfg.fence_after_ms < MIN_FENCE_HEARTBEATS * cfg.heartbeat_ms:
         raise ConversionError(
             f"$.fence_after_ms: must be at least {MIN_FENCE_HEARTBEATS} times"
@@ -196,7 +197,7 @@
         address = ipaddress.IPv4Address(text)
     except ValueError as exc:
         raise ConversionError(
-            f"{path}: expected an IP number like 10.1.2.3, found {text!r}"
+            f"{path}: expected an IP address like 10.1.2.3, found {text!r}"
         ) from exc
     if address.is_unspecified or address.is_multicast:
         raise ConversionError(
@@ -227,8 +228,8 @@
 def _check_keys(keys: tuple[TrustedKey, ...]) -> None:
     if not keys:
         raise ConversionError(
-            "$.trusted_keys: expected at least one key, without which no bundle is "
-            "accepted; make one with 'marigoldchute-ctl keys new'"
+            "$.trusted_keys: expected at least one key, otherwise no bundle can be "
+            "accepted; create one with 'marigoldchute-ctl keys new'"
         )
     _check_unique("$.trusted_keys", "key_id", (key.key_id for key in keys))
     for index, key in enumerate(keys):
@@ -237,37 +238,37 @@
 
 def _check_key(path: str, text: str) -> None:
     try:
-        size = len(base64.b64decode(text, validate=True))
+        length = len(base64.b64decode(text, validate=True))
     except (binascii.Error, ValueError) as exc:
         raise ConversionError(f"{path}: expected base64, found {text!r}") from exc
-    if size != KEY_BYTES:
+    if length != PUBLIC_KEY_BYTES:
         raise ConversionError(
-            f"{path}: expected an Ed25519 public key of {KEY_BYTES} bytes, "
-            f"found {size} bytes"
+            f"{path}: expected an Ed25519 public key of {PUBLIC_KEY_BYTES} bytes, "
+            f"found {length} bytes"
         )
 
 
 def _check_secrets(cfg: NodeSettings) -> None:
     for name in ("peer_secret", "admin_token"):
-        size = len(getattr(cfg, name))
-        if size < MIN_SECRET_LENGTH:
+        length = len(getattr(cfg, name))
+        if length < MIN_SECRET_CHARS:
             raise ConversionError(
-                f"$.{name}: expected at least {MIN_SECRET_LENGTH} characters, "
-                f"found {size}"
+                f"$.{name}: expected at least {MIN_SECRET_CHARS} characters, "
+                f"found {length}"
             )
     for index, secret in enumerate(cfg.accepted_peer_secrets):
-        if len(secret) < MIN_SECRET_LENGTH:
+        if len(secret) < MIN_SECRET_CHARS:
             raise ConversionError(
                 f"$.accepted_peer_secrets[{index}]: expected at least "
-                f"{MIN_SECRET_LENGTH} characters, found {len(secret)}"
+                f"{MIN_SECRET_CHARS} characters, found {len(secret)}"
             )
     if cfg.admin_token in (cfg.peer_secret, *cfg.accepted_peer_secrets):
         raise ConversionError("$.admin_token: must differ from $.peer_secret")
 
 
-def _check_unique(path: str, what: str, values: Iterable[str]) -> None:
+def _check_unique(path: str, label: str, values: Iterable[str]) -> None:
     seen: set[str] = set()
     for value in values:
         if value in seen:
-            raise ConversionError(f"{path}: {what} {value!r} stands twice")
+            raise ConversionError(f"{path}: {label} {value!r} appears twice")
         seen.add(value)
--- a/marigoldchute/errors.py
+++ b/marigoldchute/errors.py
@@ -1,4 +1,4 @@
-"""Exception tree and numbered result codes."""
+"""Exception classes and numbered result codes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 class ResultCode(enum.IntEnum):
     """Numbered outcome of an operation; the hundreds digit is its class.
 
-    A program's exit status is the class: 0 for success, 1 for input, 2 for
+    The exit status of a program is the class: 0 for success, 1 for input, 2 for
     bundles, 3 for the platform, 4 for peers, 5 for requests, 6 for moves and
     7 for authentication.
     """
@@ -79,19 +79,19 @@
 
     @property
     def exit_status(self) -> int:
-        """Process exit status of the code's class."""
+        """Exit status of a process that ends with this code."""
         return self.value // 100
 
 
 class MarigoldchuteError(Exception):
-    """Base of every error that the project raises on purpose.
+    """Base class of the errors that this project raises.
 
     Parameters
     ----------
     message : str
         Short sentence for an operator.
     code : ResultCode, optional
-        Numbered code; the class's own default when omitted.
+        Numbered code; the default of the class when omitted.
     """
 
     code: ResultCode = ResultCode.ARGUMENT_INVALID
@@ -107,61 +107,61 @@
 
 
 class SettingsError(MarigoldchuteError):
-    """Settings that cannot be read or are not allowed."""
+    """The settings cannot be read or are not allowed."""
 
     code = ResultCode.SETTINGS_INVALID
 
 
 class BundleError(MarigoldchuteError):
-    """A bundle that must not come into force."""
+    """A bundle is invalid and must not come into force."""
 
     code = ResultCode.BUNDLE_MALFORMED
 
 
 class PlatformError(MarigoldchuteError):
-    """A call to the platform's object API that failed."""
+    """A call to the platform's object API failed."""
 
     code = ResultCode.STORE_UNAVAILABLE
 
 
 class ConflictError(PlatformError):
-    """A conditional write whose condition did not hold."""
+    """The condition of a conditional write was not met."""
 
     code = ResultCode.STORE_CONFLICT
 
 
 class NotFoundError(PlatformError):
-    """An object that the store does not hold."""
+    """The store does not contain the object."""
 
     code = ResultCode.STORE_NOT_FOUND
 
 
 class CompactedError(PlatformError):
-    """A watch from a revision that the store's log no longer reaches back to."""
+    """A watch started from a revision that the store's log no longer contains."""
 
     code = ResultCode.STORE_LOG_COMPACTED
 
 
 class UnknownOutcomeError(PlatformError):
-    """A write whose reply was lost and that may have taken effect."""
+    """The response to a write was lost, so the write may have taken effect."""
 
     code = ResultCode.STORE_OUTCOME_UNKNOWN
 
 
 class PeerError(MarigoldchuteError):
-    """A failed exchange with another node."""
+    """A connection to another node, or a call over it, failed."""
 
     code = ResultCode.PEER_UNREACHABLE
 
 
 class RequestError(MarigoldchuteError):
-    """A caller's request that was not answered by a backend server."""
+    """A caller's request got no response from a backend server."""
 
     code = ResultCode.REQUEST_OUTCOME_UNKNOWN
 
 
 class NotRunError(RequestError):
-    """A request that certainly did not run; it may be tried again.
+    """A request was not executed, so it can be retried safely.
 
     Parameters
     ----------
@@ -170,7 +170,7 @@
     code : ResultCode, optional
         Numbered code.
     retry_after_s : float
-        Seconds after which there may be room; 0 when that is not known.
+        Seconds after which capacity may be available; 0 when unknown.
     """
 
     code = ResultCode.REQUEST_NOT_RUN_NO_BACKEND
@@ -183,12 +183,12 @@
 
 
 class MoveError(MarigoldchuteError):
-    """A move that cannot be rolled or decided as asked."""
+    """A move cannot be rolled out or decided as requested."""
 
     code = ResultCode.MOVE_INVALID
 
 
 class AuthError(MarigoldchuteError):
-    """A peer or operator that did not prove who it is."""
+    """A peer or operator failed to authenticate itself."""
 
     code = ResultCode.AUTH_FAILED
--- a/marigoldchute/events.py
+++ b/marigoldchute/events.py
@@ -1,4 +1,4 @@
-"""Event log of a process: JSON lines with hybrid logical time stamps."""
+"""Event log of a process: JSON lines with hybrid logical timestamps."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 class HybridClock:
     """Hybrid logical clock after Kulkarni et al., "Logical Physical Clocks" (2014).
 
-    A stamp holds milliseconds since the epoch in its upper bits and a counter in
-    its lower ``COUNTER_BITS`` bits, so stamps order events causally even when the
-    wall clocks of two VMs differ.
+    A timestamp, called stamp in the log, holds milliseconds since the epoch in its
+    upper bits and a counter in its lower ``COUNTER_BITS`` bits. Stamps order events
+    causally even when the wall clocks of two VMs differ.
     """
 
     def __init__(self) -> None:
-        self._last = 0
+        self._last_stamp = 0
 
     def tick(self, now_ms: int) -> int:
-        """Return a stamp later than every stamp given or observed before."""
-        self._last = max(self._last + 1, now_ms << COUNTER_BITS)
-        return self._last
+        """Return a stamp later than every stamp returned or observed before."""
+        self._last_stamp = max(self._last_stamp + 1, now_ms << COUNTER_BITS)
+        return self._last_stamp
 
     def observe(self, stamp: int) -> None:
-        """Take note of a stamp received from another process."""
-        self._last = max(self._last, stamp)
+        """Advance the clock to a stamp received from another process."""
+        self._last_stamp = max(self._last_stamp, stamp)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -47,19 +47,19 @@
     Parameters
     ----------
     stamp : int
-        Hybrid logical time.
+        Hybrid logical timestamp.
     wall_ms : int
-        Wall-clock time of the process in milliseconds since the epoch.
+        Wall-clock time of the process, in milliseconds since the epoch.
     process : str
         Name of the node or program.
     part : str
-        Duty that logged the event, for example ``moves``.
+        Component that logged the event, for example ``moves``.
     event : str
         Event name, for example ``step``.
     text : str
-        Short sentence for a reader.
+        Short human-readable sentence.
     fields : dict of str to Any
-        Further values, such as ``move``, ``version``, ``member`` or ``code``.
+        Additional values, such as ``move``, ``version``, ``member`` or ``code``.
     """
 
     stamp: int
@@ -72,17 +72,17 @@
 
 
 class EventLog:
-    """Writes the events of one process as eliot messages, one JSON object a line.
+    """Writes the events of one process as eliot messages, one JSON object per line.
 
     Parameters
     ----------
     process : str
         Name written into every event.
     out : file object, optional
-        Stream to which the lines go; by default standard output, which then never
-        blocks the process: a reader that stands still costs lines.
+        Stream to which the lines are written. The default is standard output, which
+        then never blocks the process: when its reader stalls, lines are dropped.
     clock : HybridClock, optional
-        Clock shared with the links of the process.
+        Clock, shared with the links of the process.
     """
 
     def __init__(
@@ -103,13 +103,13 @@
         Parameters
         ----------
         part : str
-            Duty that logs, also the fixed prefix of the sentence.
+            Component that logs the event; it becomes the prefix of the sentence.
         event : str
             Event name.
         text : str
             Short sentence without the prefix.
         **fields : object
-            JSON-compatible values.
+            Additional JSON-compatible values.
         """
         now_ms = wall_clock_ms()
         eliot.log_message(
@@ -123,7 +123,7 @@
 
 
 class EventSink:
-    """Event log that keeps events in memory, for components without a process."""
+    """Event log that stores events in memory, for components without a process."""
 
     def __init__(self, process: str = "") -> None:
         self.process = process
@@ -131,7 +131,7 @@
         self.events: list[Event] = []
 
     def emit(self, part: str, event: str, text: str, **fields: object) -> None:
-        """Keep one event."""
+        """Store one event."""
         now_ms = wall_clock_ms()
         stamp = self.clock.tick(now_ms)
         self.events.append(
--- a/marigoldchute/node.py
+++ b/marigoldchute/node.py
@@ -1,4 +1,4 @@
-"""Assembly of the slices into one node."""
+"""Node process that combines the components of the mesh."""
 
 from __future__ import annotations
 
@@ -43,13 +43,13 @@
     from marigoldchute.link.link import Link
     from marigoldchute.link.stats import NodeStats
 
-TICK_S = 0.05
-IDLE_TICK_S = 0.25
-LEAVE_FLOOD_S = 0.05
+CHECK_INTERVAL_S = 0.05
+IDLE_CHECK_INTERVAL_S = 0.25
+LEAVE_PROPAGATION_S = 0.05
 
 
 class Node:
-    """One node process: proxy, member, replica and, at times, driver."""
+    """One node: a proxy, a mesh member, a replica of bundles and possibly a driver."""
 
     def __init__(self, cfg: NodeSettings, log: EventLog, rng: random.Random) -> None:
         self._cfg = cfg
@@ -58,9 +58,9 @@
         self._clock = Clock(cfg.clock_offset_ms)
         incarnation = self._clock.now_ms()
         handlers = Handlers()
-        self._table = RecordTable()
+        self._record_table = RecordTable()
         self._in_force = InForce()
-        self._membership = Membership(cfg, incarnation, self._table, log)
+        self._membership = Membership(cfg, incarnation, self._record_table, log)
         self._endpoint = LinkEndpoint(
             PeerIdentity(cfg.name, incarnation, cfg.data_centre, cfg.region),
             cfg.address,
@@ -68,13 +68,13 @@
             handlers,
             log.clock,
             cfg.heartbeat_ms,
-            self._take_link,
+            self._handle_accepted_link,
         )
-        self._overlay = Overlay(self._endpoint, handlers, self._table, rng)
+        self._overlay = Overlay(self._endpoint, handlers, self._record_table, rng)
         self._membership.on_incarnation.append(self._endpoint.begin_incarnation)
         address_of = self._membership.address_of
-        self._control = LinkPool(self._endpoint, "control-call", address_of)
-        self._traffic = LinkPool(self._endpoint, "traffic", address_of)
+        self._control_pool = LinkPool(self._endpoint, "control-call", address_of)
+        self._traffic_pool = LinkPool(self._endpoint, "traffic", address_of)
         store = HttpObjectStore(cfg.store, rng, cfg.address)
         self._exchange = ContactExchange(
             self._membership, self._overlay, store, handlers, log, rng
@@ -82,13 +82,13 @@
         self._prober = Prober(
             self._membership, self._endpoint, self._overlay, handlers, rng
         )
-        self._judge = SilenceJudge(self._membership, store)
-        self._seeds = SeedKeeper(self._membership, self._overlay, store, rng)
+        self._silence_detector = SilenceJudge(self._membership, store)
+        self._seed_keeper = SeedKeeper(self._membership, self._overlay, store, rng)
         verifier = SignatureVerifier(cfg.trusted_keys)
         self._replicator = Replicator(
             self._membership,
             self._overlay,
-            self._table,
+            self._record_table,
             store,
             verifier,
             self._in_force,
@@ -100,7 +100,7 @@
         self._engine = MoveEngine(
             self._in_force,
             self._membership,
-            self._table,
+            self._record_table,
             log,
             self._clock,
             cfg.clock_error_ms,
@@ -111,7 +111,7 @@
             self._in_force,
             self._engine,
             Collector(self._membership, self._engine, handlers, self._clock),
-            self._control,
+            self._control_pool,
             self._clock,
             rng,
         )
@@ -127,19 +127,19 @@
         self._verdict_reader = VerdictReader(
             self._engine, store, lambda: self._replicator.is_reader
         )
-        self._path = RequestPath(
+        self._request_path = RequestPath(
             cfg,
             self._in_force,
             self._engine,
             self._membership,
-            self._table,
-            self._traffic,
+            self._record_table,
+            self._traffic_pool,
             self._engine.recorder,
             log,
             self._clock,
             rng,
         )
-        handlers.stream = self._path.owner.serve
+        handlers.stream = self._request_path.owner.serve
         service = AdminService(
             self._membership,
             self._in_force,
@@ -154,46 +154,48 @@
                 self._replicator,
                 self._engine.check_moves,
             ),
-            self._stats,
-            lambda: self._counts(store.calls),
+            self._collect_stats,
+            lambda: self._collect_counts(store.calls),
         )
         self._duty_log = DutyLog(self._membership, self._membership.duties, log)
         self._admin = AdminApp(service, cfg.admin_token)
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Run all components until cancelled."""
         cfg = self._cfg
         self._started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
-            await nursery.start(self._control.run)
-            await nursery.start(self._traffic.run)
+            await nursery.start(self._control_pool.run)
+            await nursery.start(self._traffic_pool.run)
             await nursery.start(self._endpoint.serve, cfg.peer_port)
             nursery.start_soon(self._overlay.run, self._membership)
             nursery.start_soon(self._exchange.run)
             nursery.start_soon(self._prober.run)
-            nursery.start_soon(self._judge.run)
-            nursery.start_soon(self._seeds.run)
+            nursery.start_soon(self._silence_detector.run)
+            nursery.start_soon(self._seed_keeper.run)
             nursery.start_soon(self._replicator.run)
             nursery.start_soon(self._reporter.run)
             nursery.start_soon(self._driver.run)
             nursery.start_soon(self._verdict_reader.run)
-            nursery.start_soon(self._tick)
+            nursery.start_soon(self._run_periodic_checks)
             nursery.start_soon(serve_app, self._admin, cfg.address, cfg.admin_port)
-            await nursery.start(self._path.run)
-            self._log.emit("node", "started", f"{cfg.name} serves on {cfg.address}.")
+            await nursery.start(self._request_path.run)
+            self._log.emit(
+                "node", "started", f"{cfg.name} is serving on {cfg.address}."
+            )
 
     async def drain(self) -> None:
-        """Leave the mesh without cutting a request; returns when it may stop."""
-        self._log.emit("node", "draining", f"{self._cfg.name} drains.")
+        """Finish running requests, leave the mesh and return when the node may stop."""
+        self._log.emit("node", "draining", f"{self._cfg.name} is draining.")
         self._membership.drain()
-        await self._path.drain()
+        await self._request_path.drain()
         self._membership.leave(self._clock.now_ms())
-        await trio.sleep(LEAVE_FLOOD_S)
+        await trio.sleep(LEAVE_PROPAGATION_S)
         await self._endpoint.flush()
         self._log.emit("node", "drained", f"{self._cfg.name} has drained.")
 
-    def _counts(self, store_calls: int) -> NodeCounts:
-        entry = self._path.entry
+    def _collect_counts(self, store_calls: int) -> NodeCounts:
+        entry = self._request_path.entry
         budget = entry.retry_budget
         return NodeCounts(
             store_calls,
@@ -205,15 +207,15 @@
             },
         )
 
-    def _stats(self) -> NodeStats:
+    def _collect_stats(self) -> NodeStats:
         uptime_s = trio.current_time() - self._started_at
         return collect_stats(self._endpoint, len(self._membership.all()), uptime_s)
 
-    def _take_link(self, link: Link) -> None:
+    def _handle_accepted_link(self, link: Link) -> None:
         if link.purpose == "control":
             self._overlay.accept(link)
 
-    async def _tick(self) -> None:
+    async def _run_periodic_checks(self) -> None:
         while True:
             now = trio.current_time()
             self._membership.expire_announcements(now)
@@ -221,4 +223,6 @@
             self._duty_log.check()
             if self._engine.advance(self._clock.now_ms()):
                 self._reporter.wake()
-            await trio.sleep(TICK_S if self._engine.states() else IDLE_TICK_S)
+            await trio.sleep(
+                CHECK_INTERVAL_S if self._engine.states() else IDLE_CHECK_INTERVAL_S
+            )
--- a/tests/test_config/test_settings.py
+++ b/tests/test_config/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node."""
+"""Tests of parsing and validating the settings of a node."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
     "admin_token": "a token of operators",
 }
 
-# Key path, value and what the message must say.
-REFUSED: list[tuple[str, Any, str]] = [
+# Each entry holds a key path, an invalid value and the expected part of the message.
+INVALID: list[tuple[str, Any, str]] = [
     ("name", "", "$.name"),
     ("name", "a b", "$.name"),
-    ("address", "localhost", "IP number like 10.1.2.3, found 'localhost'"),
+    ("address", "localhost", "IP address like 10.1.2.3, found 'localhost'"),
     ("address", "0.0.0.0", "$.address: expected the address of one machine"),
     ("advertise_address", "10.0.0", "$.advertise_address"),
     ("store.port", 0, "$.store.port: expected int >= 1, found 0"),
@@ -48,15 +48,15 @@
     ("trusted_keys.0.public_key", "AAAA", "32 bytes, found 3 bytes"),
     ("trusted_keys.0.public_key", "?", "$.trusted_keys[0].public_key"),
     ("trusted_keys.0.pubic_key", "?", "did you mean 'public_key'?"),
-    ("trusted_keys", VALID["trusted_keys"] * 2, "key_id 'ops-1' stands twice"),
-    ("seeds", ["10.0.0.2:7000"] * 2, "seed '10.0.0.2:7000' stands twice"),
+    ("trusted_keys", VALID["trusted_keys"] * 2, "key_id 'ops-1' appears twice"),
+    ("seeds", ["10.0.0.2:7000"] * 2, "seed '10.0.0.2:7000' appears twice"),
     ("seeds", ["10.0.0.2"], "$.seeds[0]: expected ADDRESS:PORT"),
     ("seeds", ["10.0.0.2:99999"], "$.seeds[0]: expected a port from 1 to 65535"),
-    ("seeds", ["peer:7000"], "$.seeds[0]: expected an IP number"),
+    ("seeds", ["peer:7000"], "$.seeds[0]: expected an IP address"),
     ("peer_secret", "", "$.peer_secret: expected at least 16 characters, found 0"),
     ("admin_token", "short", "$.admin_token: expected at least 16"),
     ("admin_token", VALID["peer_secret"], "must differ from $.peer_secret"),
-    ("caller_port", 7000, "'7000' stands twice"),
+    ("caller_port", 7000, "'7000' appears twice"),
     ("clock_error_ms", -1, "$.clock_error_ms: expected int >= 0, found -1"),
     ("clock_error_ms", 1.5, "$.clock_error_ms: expected int, got float"),
     ("heartbeat_ms", 1, "$.heartbeat_ms"),
@@ -64,33 +64,35 @@
 ]
 
 
-def change(path: str, value: Any) -> dict[str, Any]:
-    """Return the valid settings with one value replaced."""
+def replace_value(path: str, value: Any) -> dict[str, Any]:
+    """Return a copy of the valid settings with one value replaced."""
     changed = copy.deepcopy(VALID)
     *parents, last = path.split(".")
-    place: Any = changed
+    container: Any = changed
     for key in parents:
-        place = place[int(key)] if isinstance(place, list) else place[key]
-    place[last] = value
+        container = (
+            container[int(key)] if isinstance(container, list) else container[key]
+        )
+    container[last] = value
     return changed
 
 
 class SettingsTest(unittest.TestCase):
-    def test_valid_settings_are_taken(self) -> None:
+    def test_valid_settings_are_parsed(self) -> None:
         cfg = parse_node_settings(VALID, "vm.json")
         self.assertEqual(cfg.store.port, 9000)
         self.assertEqual(cfg.trusted_keys[0].key_id, "ops-1")
 
-    def test_refusal_names_file_place_finding_and_what_is_allowed(self) -> None:
-        for path, value, text in REFUSED:
+    def test_error_names_the_file_the_key_and_the_expected_value(self) -> None:
+        for path, value, text in INVALID:
             with self.subTest(path=path, value=value):
                 with self.assertRaises(SettingsError) as caught:
-                    parse_node_settings(change(path, value), "vm.json")
+                    parse_node_settings(replace_value(path, value), "vm.json")
                 self.assertIn(text, caught.exception.message)
                 self.assertTrue(caught.exception.message.startswith("vm.json: $"))
                 self.assertIs(caught.exception.code, ResultCode.SETTINGS_INVALID)
 
-    def test_each_missing_key_without_a_default_is_refused(self) -> None:
+    def test_each_missing_required_key_is_rejected(self) -> None:
         optional = {"seeds"}
         for key in VALID.keys() - optional:
             with self.subTest(key=key), self.assertRaises(SettingsError) as caught:
@@ -99,14 +101,14 @@
                 )
             self.assertIn(key, caught.exception.message)
 
-    def test_value_of_another_type_is_refused(self) -> None:
+    def test_settings_that_are_not_an_object_are_rejected(self) -> None:
         for value in (None, [], "x", 5):
             with self.subTest(value=value), self.assertRaises(SettingsError):
                 parse_node_settings(value, "vm.json")
 
-    def test_message_does_not_show_a_secret(self) -> None:
+    def test_error_does_not_contain_a_secret(self) -> None:
         with self.assertRaises(SettingsError) as caught:
-            parse_node_settings(change("peer_secret", "pa55word"), "vm.json")
+            parse_node_settings(replace_value("peer_secret", "pa55word"), "vm.json")
         self.assertNotIn("pa55word", caught.exception.message)
 
 
@@ -117,7 +119,7 @@
             file.flush()
             load_node_settings(file.name)
 
-    def test_unreadable_files_are_refused_with_their_line(self) -> None:
+    def test_invalid_files_are_rejected_with_the_cause(self) -> None:
         cases = {
             b'{\n  "name" 1}': "line 2",
             b'{"name": "a",\n "name": "b"}': "duplicate key",
@@ -132,16 +134,16 @@
                 self.assertIn(text, caught.exception.message)
                 self.assertIs(caught.exception.code, ResultCode.SETTINGS_UNREADABLE)
 
-    def test_missing_file_is_refused_by_name(self) -> None:
+    def test_error_for_a_missing_file_names_it(self) -> None:
         with self.assertRaises(SettingsError) as caught:
             load_node_settings("/nowhere/vm.json")
         self.assertIn("/nowhere/vm.json: No such file", caught.exception.message)
 
 
 class ExampleTest(unittest.TestCase):
-    def test_settings_of_each_deployment_are_valid(self) -> None:
-        centres = {"foundation": "cartago-norte", "hanbit": "busan-a"}
-        for name, centre in centres.items():
+    def test_example_settings_of_each_deployment_are_valid(self) -> None:
+        data_centres = {"foundation": "cartago-norte", "hanbit": "busan-a"}
+        for name, data_centre in data_centres.items():
             with self.subTest(name=name):
                 cfg = load_node_settings(str(EXAMPLES / name / "settings.json"))
-                self.assertEqual(cfg.data_centre, centre)
+                self.assertEqual(cfg.data_centre, data_centre)
--- a/tests/test_events/test_timeline.py
+++ b/tests/test_events/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line over the logs of several processes."""
+"""Tests of the time line of events and of the program that prints it."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 START_MS = 1_700_000_000_000
 
 
-def line(
+def log_line(
     process: str,
     stamp: int,
     part: str = "moves",
     event: str = "share",
     **fields: object,
 ) -> bytes:
-    """Return a log line as an event log writes it."""
+    """Return a log line in the format of an event log."""
     values = {
         "message_type": f"marigoldchute:{part}:{event}",
         "stamp": stamp,
@@ -41,33 +41,38 @@
 
 
 class MergeTest(unittest.TestCase):
-    def test_effect_stands_after_its_cause_when_the_receivers_clock_is_behind(
+    def test_effect_follows_its_cause_when_the_receivers_clock_is_behind(
         self,
     ) -> None:
         sender, receiver = HybridClock(), HybridClock()
-        fault = sender.tick(START_MS)
-        receiver.observe(fault)
-        reaction = receiver.tick(START_MS - 5000)
-        verdict = receiver.tick(START_MS - 4990)
+        cause = sender.tick(START_MS)
+        receiver.observe(cause)
+        effect = receiver.tick(START_MS - 5000)
+        later_effect = receiver.tick(START_MS - 4990)
         logs = [
-            [line("vm-2", reaction, event="b"), line("vm-2", verdict, event="c")],
-            [line("vm-1", fault, event="a")],
+            [
+                log_line("vm-2", effect, event="b"),
+                log_line("vm-2", later_effect, event="c"),
+            ],
+            [log_line("vm-1", cause, event="a")],
         ]
         merged = merge_lines(logs)
         self.assertEqual([event.event for event in merged.events], ["a", "b", "c"])
 
-    def test_any_order_of_logs_and_lines_gives_the_same_time_line(self) -> None:
+    def test_time_line_does_not_depend_on_the_order_of_logs_and_lines(self) -> None:
         rng = random.Random(1)
-        lines = [line(f"vm-{n % 3}", START_MS + n // 2) for n in range(20)]
+        lines = [log_line(f"vm-{n % 3}", START_MS + n // 2) for n in range(20)]
         expected = merge_lines([lines])
         for _ in range(20):
             rng.shuffle(lines)
-            cut = rng.randrange(len(lines))
-            self.assertEqual(merge_lines([lines[:cut], lines[cut:]]), expected)
-
-    def test_foreign_and_truncated_lines_are_counted_and_left_out(self) -> None:
-        whole = line("vm-1", 5)
-        foreign = [
+            split_at = rng.randrange(len(lines))
+            self.assertEqual(
+                merge_lines([lines[:split_at], lines[split_at:]]), expected
+            )
+
+    def test_foreign_and_truncated_lines_are_skipped_and_counted(self) -> None:
+        valid_line = log_line("vm-1", 5)
+        foreign_lines = [
             b"Traceback (most recent call last):",
             b"[]",
             b"17",
@@ -75,33 +80,41 @@
             b"\xff\xfe",
             b'{"message_type": "other:a:b", "stamp": 1, "wall_ms": 1}',
             b'{"message_type": "marigoldchute:a:b", "stamp": "x"}',
-            line("vm-1", 1).replace(b"marigoldchute:", b"other:"),
-            line("vm-1", 1).replace(b"marigoldchute:moves:share", b"marigoldchute:x"),
+            log_line("vm-1", 1).replace(b"marigoldchute:", b"other:"),
+            log_line("vm-1", 1).replace(
+                b"marigoldchute:moves:share", b"marigoldchute:x"
+            ),
         ]
-        cuts = [whole[:size] for size in range(1, len(whole) - 1, 7)]
-        merged = merge_lines([[*foreign, whole, b"", b"\n", *cuts]])
+        truncated_lines = [
+            valid_line[:size] for size in range(1, len(valid_line) - 1, 7)
+        ]
+        merged = merge_lines(
+            [[*foreign_lines, valid_line, b"", b"\n", *truncated_lines]]
+        )
         self.assertEqual(len(merged.events), 1)
-        self.assertEqual(merged.skipped_lines, len(foreign) + len(cuts))
+        self.assertEqual(
+            merged.skipped_lines, len(foreign_lines) + len(truncated_lines)
+        )
 
-    def test_every_byte_lost_or_changed_is_survived(self) -> None:
-        whole = line("vm-1", 5)
+    def test_parsing_a_corrupted_line_raises_no_error(self) -> None:
+        valid_line = log_line("vm-1", 5)
         rng = random.Random(1)
         for _ in range(500):
-            data = bytearray(whole)
+            data = bytearray(valid_line)
             data[rng.randrange(len(data))] = rng.randrange(256)
-            cut = rng.randrange(len(data))
-            del data[cut : cut + rng.randrange(5)]
+            offset = rng.randrange(len(data))
+            del data[offset : offset + rng.randrange(5)]
             parse_line(bytes(data))
 
 
 class FilterTest(unittest.TestCase):
-    def test_each_criterion_selects(self) -> None:
+    def test_filter_selects_the_matching_events(self) -> None:
         events = merge_lines(
             [
                 [
-                    line("vm-1", 1000 << COUNTER_BITS, move="m", version=1),
-                    line("vm-2", 2000 << COUNTER_BITS, member="vm-1", part="a"),
-                    line("vm-2", 3000 << COUNTER_BITS, event="e", request="r.1"),
+                    log_line("vm-1", 1000 << COUNTER_BITS, move="m", version=1),
+                    log_line("vm-2", 2000 << COUNTER_BITS, member="vm-1", part="a"),
+                    log_line("vm-2", 3000 << COUNTER_BITS, event="e", request="r.1"),
                 ]
             ]
         ).events
@@ -121,19 +134,21 @@
             (EventFilter(since_ms=1500, until_ms=2500), [1]),
             (EventFilter(move="m", vm="vm-2"), []),
         ]
-        for wanted, expected in cases:
-            with self.subTest(wanted=wanted):
-                found = [i for i, event in enumerate(events) if wanted.matches(event)]
-                self.assertEqual(found, expected)
+        for event_filter, expected in cases:
+            with self.subTest(event_filter=event_filter):
+                matching = [
+                    i for i, event in enumerate(events) if event_filter.matches(event)
+                ]
+                self.assertEqual(matching, expected)
 
 
 class TimeTest(unittest.TestCase):
-    def test_times_are_utc_unless_they_name_an_offset(self) -> None:
+    def test_times_are_utc_unless_they_have_an_offset(self) -> None:
         for text in ("2023-11-14T22:13:20", "2023-11-15T00:13:20+02:00", str(START_MS)):
             with self.subTest(text=text):
                 self.assertEqual(parse_time_ms(text), START_MS)
 
-    def test_other_text_is_refused(self) -> None:
+    def test_invalid_times_are_rejected(self) -> None:
         for text in ("yesterday", "", "-1", "25:00"):
             with self.subTest(text=text), self.assertRaises(MarigoldchuteError):
                 parse_time_ms(text)
@@ -151,7 +166,7 @@
             status = run_command_line(TimelineCommand, [*args])
         return status, out.getvalue(), err.getvalue()
 
-    def test_log_of_a_process_can_be_read_back(self) -> None:
+    def test_program_prints_the_events_of_a_log(self) -> None:
         with self.path.open("w") as file:
             log = EventLog("vm-1", file)
             log.emit("moves", "verdict", "turnos-r2 is done.", move="turnos-r2")
@@ -164,13 +179,13 @@
         self.assertEqual((value["event"], value["version"]), ("in_force", 3))
         self.assertNotIn("task_uuid", value)
 
-    def test_skipped_lines_are_told(self) -> None:
-        self.path.write_bytes(line("vm-1", 1) + b"\nhalf a line")
+    def test_program_reports_the_number_of_skipped_lines(self) -> None:
+        self.path.write_bytes(log_line("vm-1", 1) + b"\nhalf a line")
         status, out, err = self.run_program(str(self.path))
         self.assertEqual((status, out.count("\n")), (0, 1))
         self.assertIn("1 lines are no events", err)
 
-    def test_bad_arguments_end_with_the_class_of_the_code(self) -> None:
+    def test_exit_status_of_invalid_arguments_is_the_class_of_the_code(self) -> None:
         self.path.touch()
         cases = [
             (["/nowhere.log"], 1, "102 SETTINGS_UNREADABLE"),
