--- a/marigoldchute/admin/app.py
+++ b/marigoldchute/admin/app.py
@@ -12,7 +12,7 @@
 from prometheus_client.exposition import CONTENT_TYPE_LATEST
 
 from marigoldchute.admin.http_status import (
-    MethodError,
+    MethodNotAllowedError,
     UnknownPathError,
     http_status_of,
 )
@@ -26,21 +26,21 @@
     from marigoldchute.admin.service import AdminService
     from marigoldchute.util.asgi import Scope, Send
 
-MAX_ORDER_BYTES = 64_000_000
+MAX_ROLL_REQUEST_BYTES = 64_000_000
 MAX_AUTHOR_BYTES = 256
 JSON = "application/json"
 
 
 @dataclasses.dataclass(frozen=True)
-class Call:
-    """One call of the API.
+class ApiRequest:
+    """One request to the API.
 
     Parameters
     ----------
     name : str
-        Rest of the path after the endpoint's prefix.
+        Part of the path that follows the endpoint's prefix.
     receive : callable
-        ASGI channel of the body.
+        ASGI channel from which the body is received.
     """
 
     name: str
@@ -48,8 +48,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Reply:
-    """Encoded answer."""
+class ApiResponse:
+    """Encoded body of a response and its content type."""
 
     body: bytes
     content_type: str = JSON
@@ -62,34 +62,34 @@
     Parameters
     ----------
     method : str
-        The only method that it takes.
+        The only HTTP method that the endpoint accepts.
     path : str
-        Path, or prefix of the name when it ends in a slash.
-    serve : callable
-        Returns the answer.
+        Path of the endpoint, or prefix before the name when it ends in a slash.
+    handler : callable
+        Returns the response.
     public : bool
-        Whether it needs no token.
+        Whether the endpoint can be used without a token.
     """
 
     method: str
     path: str
-    serve: Callable[[Call], Awaitable[Reply]]
+    handler: Callable[[ApiRequest], Awaitable[ApiResponse]]
     public: bool = False
 
     def matches(self, path: str) -> bool:
-        """Whether a path is this endpoint's."""
+        """Return whether a path belongs to this endpoint."""
         if self.path.endswith("/"):
             return path.startswith(self.path) and len(path) > len(self.path)
         return path == self.path
 
 
 class AdminApp:
-    """Routes the paths of the administration API to its service.
+    """Dispatches requests to the administration API to its service.
 
     Parameters
     ----------
     service : AdminService
-        Operations.
+        Implementation of the operations.
     token : str
         Bearer token that operators must present.
     """
@@ -120,79 +120,87 @@
 
     async def _serve_http(self, scope: Scope, receive: Receive, send: Send) -> None:
         try:
-            reply = await self._dispatch(scope, receive)
+            response = await self._dispatch(scope, receive)
         except MarigoldchuteError as exc:
             failure = Failure(exc.code.value, exc.code.name, exc.message)
             body = msgspec.json.encode(failure)
-            await answer(send, http_status_of(exc), body, headers=_headers_of(exc))
+            await answer(send, http_status_of(exc), body, headers=_error_headers(exc))
             return
-        await answer(send, 200, reply.body, reply.content_type)
+        await answer(send, 200, response.body, response.content_type)
 
-    async def _dispatch(self, scope: Scope, receive: Receive) -> Reply:
-        endpoint = self._find(scope["method"], scope["path"])
+    async def _dispatch(self, scope: Scope, receive: Receive) -> ApiResponse:
+        endpoint = self._find_endpoint(scope["method"], scope["path"])
         if not endpoint.public:
             self._authenticate(scope)
         name = urllib.parse.unquote(scope["path"].removeprefix(endpoint.path))
-        return await endpoint.serve(Call(name, receive))
+        return await endpoint.handler(ApiRequest(name, receive))
 
-    def _find(self, method: str, path: str) -> Endpoint:
+    def _find_endpoint(self, method: str, path: str) -> Endpoint:
         endpoint = next((e for e in self.endpoints if e.matches(path)), None)
         if endpoint is None:
             raise UnknownPathError(f"{path} is not part of the API")
         if method != endpoint.method:
-            raise MethodError(f"{path} takes {endpoint.method} only", endpoint.method)
+            raise MethodNotAllowedError(
+                f"{path} accepts {endpoint.method} only", endpoint.method
+            )
         return endpoint
 
     def _authenticate(self, scope: Scope) -> None:
         headers = dict(scope["headers"])
-        given = headers.get(b"authorization", b"")
-        if not given:
+        credentials = headers.get(b"authorization", b"")
+        if not credentials:
             raise AuthError("the admin token is missing")
-        wanted = f"Bearer {self._token}".encode()
-        if not hmac.compare_digest(given, wanted):
-            raise AuthError("the admin token is wrong")
+        expected = f"Bearer {self._token}".encode()
+        if not hmac.compare_digest(credentials, expected):
+            raise AuthError("the admin token is invalid")
 
-    async def _health(self, call: Call) -> Reply:
-        return _json(Health("ok"))
+    async def _health(self, request: ApiRequest) -> ApiResponse:
+        return _json_response(Health("ok"))
 
-    async def _ready(self, call: Call) -> Reply:
-        return _json(self._service.ready())
+    async def _ready(self, request: ApiRequest) -> ApiResponse:
+        return _json_response(self._service.ready())
 
-    async def _status(self, call: Call) -> Reply:
-        return _json(await self._service.status())
+    async def _status(self, request: ApiRequest) -> ApiResponse:
+        return _json_response(await self._service.status())
 
-    async def _in_force(self, call: Call) -> Reply:
-        return _json(self._service.bundle_in_force())
+    async def _in_force(self, request: ApiRequest) -> ApiResponse:
+        return _json_response(self._service.bundle_in_force())
 
-    async def _members(self, call: Call) -> Reply:
-        return _json((await self._service.status()).members)
+    async def _members(self, request: ApiRequest) -> ApiResponse:
+        return _json_response((await self._service.status()).members)
 
-    async def _moves(self, call: Call) -> Reply:
-        return _json((await self._service.status()).moves)
+    async def _moves(self, request: ApiRequest) -> ApiResponse:
+        return _json_response((await self._service.status()).moves)
 
-    async def _metrics(self, call: Call) -> Reply:
-        return Reply(render_metrics(self._service.snapshot()), CONTENT_TYPE_LATEST)
+    async def _metrics(self, request: ApiRequest) -> ApiResponse:
+        return ApiResponse(
+            render_metrics(self._service.snapshot()), CONTENT_TYPE_LATEST
+        )
 
-    async def _stats(self, call: Call) -> Reply:
-        return _json(self._service.stats())
+    async def _stats(self, request: ApiRequest) -> ApiResponse:
+        return _json_response(self._service.stats())
 
-    async def _roll(self, call: Call) -> Reply:
-        return _json(await self._service.roll(await _read_order(call.receive)))
+    async def _roll(self, request: ApiRequest) -> ApiResponse:
+        return _json_response(
+            await self._service.roll(await _read_roll_request(request.receive))
+        )
 
-    async def _verdict(self, call: Call) -> Reply:
-        return _json(await self._service.verdict(call.name))
+    async def _verdict(self, request: ApiRequest) -> ApiResponse:
+        return _json_response(await self._service.verdict(request.name))
 
-    async def _cancel(self, call: Call) -> Reply:
-        author = await _read_author(call.receive)
-        return _json(await self._service.cancel(call.name, author, wall_clock_ms()))
+    async def _cancel(self, request: ApiRequest) -> ApiResponse:
+        author = await _read_author(request.receive)
+        return _json_response(
+            await self._service.cancel(request.name, author, wall_clock_ms())
+        )
 
 
-def _json(value: object) -> Reply:
-    return Reply(msgspec.json.encode(value))
+def _json_response(value: object) -> ApiResponse:
+    return ApiResponse(msgspec.json.encode(value))
 
 
-def _headers_of(exc: MarigoldchuteError) -> tuple[tuple[bytes, bytes], ...]:
-    if isinstance(exc, MethodError):
+def _error_headers(exc: MarigoldchuteError) -> tuple[tuple[bytes, bytes], ...]:
+    if isinstance(exc, MethodNotAllowedError):
         return ((b"allow", exc.allowed.encode()),)
     if isinstance(exc, AuthError):
         return ((b"www-authenticate", b"Bearer"),)
@@ -208,17 +216,18 @@
     except UnicodeDecodeError as exc:
         raise MarigoldchuteError("author is not UTF-8") from exc
     if not author.isprintable():
-        raise MarigoldchuteError("author has characters that cannot be printed")
+        raise MarigoldchuteError("author contains characters that are not printable")
     return author or "unknown"
 
 
-async def _read_order(receive: Receive) -> RollOrder:
-    body = await read_body(receive, MAX_ORDER_BYTES)
+async def _read_roll_request(receive: Receive) -> RollOrder:
+    body = await read_body(receive, MAX_ROLL_REQUEST_BYTES)
     if body is None:
         raise BundleError(
-            f"order is larger than {MAX_ORDER_BYTES} bytes", ResultCode.BUNDLE_TOO_LARGE
+            f"roll request is larger than {MAX_ROLL_REQUEST_BYTES} bytes",
+            ResultCode.BUNDLE_TOO_LARGE,
         )
     try:
         return msgspec.json.decode(body, type=RollOrder)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise BundleError(f"order is malformed: {exc}") from exc
+        raise BundleError(f"roll request is malformed: {exc}") from exc
--- a/marigoldchute/admin/client.py
+++ b/marigoldchute/admin/client.py
@@ -1,4 +1,4 @@
-"""Client of the administration API, as the operator's program uses it."""
+"""Client of the administration API, used by the operator's program."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from marigoldchute.moves.model import Verdict
 
 T = TypeVar("T")
-TIMEOUT_S = 30.0
+READ_TIMEOUT_S = 30.0
 
 
 class AdminClient:
@@ -40,20 +40,20 @@
         self._pool = httpcore.AsyncConnectionPool()
 
     async def status(self) -> Status:
-        """Return what the node knows of the mesh."""
+        """Return the status of the mesh as known to the node."""
         return await self._call("GET", "/v1/status", b"", Status)
 
     async def stats(self) -> NodeStats:
-        """Return what the node has spent."""
+        """Return the resource usage of the node."""
         return await self._call("GET", "/v1/stats", b"", NodeStats)
 
-    async def roll(self, order: RollOrder) -> RollResult:
-        """Hand over a signed bundle."""
-        body = msgspec.json.encode(order)
+    async def roll(self, request: RollOrder) -> RollResult:
+        """Submit a signed bundle for rollout."""
+        body = msgspec.json.encode(request)
         return await self._call("POST", "/v1/bundles", body, RollResult)
 
     async def verdict(self, move_id: str) -> MoveStatus:
-        """Return the verdict of a move."""
+        """Return the status of a move, including its verdict."""
         return await self._call(
             "GET", f"/v1/verdicts/{_quote(move_id)}", b"", MoveStatus
         )
@@ -63,14 +63,16 @@
         body = author.encode()
         return await self._call("POST", f"/v1/cancel/{_quote(move_id)}", body, Verdict)
 
-    async def _call(self, method: str, path: str, body: bytes, kind: type[T]) -> T:
+    async def _call(
+        self, method: str, path: str, body: bytes, response_type: type[T]
+    ) -> T:
         try:
             response = await self._pool.request(
                 method,
                 f"http://{self._address}{path}",
                 headers={"authorization": f"Bearer {self._token}"},
                 content=body,
-                extensions={"timeout": {"connect": 3.0, "read": TIMEOUT_S}},
+                extensions={"timeout": {"connect": 3.0, "read": READ_TIMEOUT_S}},
             )
         except (
             httpcore.NetworkError,
@@ -80,23 +82,23 @@
             detail = str(exc) or type(exc).__name__
             raise PeerError(f"node {self._address} did not answer: {detail}") from exc
         if response.status != 200:
-            raise self._failure(response)
+            raise self._decode_failure(response)
         try:
-            return msgspec.json.decode(response.content, type=kind)
+            return msgspec.json.decode(response.content, type=response_type)
         except msgspec.DecodeError as exc:
-            raise self._not_a_node(response) from exc
+            raise self._invalid_response(response) from exc
 
-    def _failure(self, response: httpcore.Response) -> MarigoldchuteError:
+    def _decode_failure(self, response: httpcore.Response) -> MarigoldchuteError:
         try:
             failure = msgspec.json.decode(response.content, type=Failure)
             return MarigoldchuteError(failure.message, ResultCode(failure.code))
         except (msgspec.DecodeError, ValueError):
-            return self._not_a_node(response)
+            return self._invalid_response(response)
 
-    def _not_a_node(self, response: httpcore.Response) -> PeerError:
+    def _invalid_response(self, response: httpcore.Response) -> PeerError:
         return PeerError(
-            f"{self._address} answered {response.status}, but not as a node's "
-            "administration API of this release does",
+            f"{self._address} responded with {response.status}, but not in the format "
+            "of the administration API of this release",
             ResultCode.PEER_PROTOCOL,
         )
 
--- a/marigoldchute/admin/http_status.py
+++ b/marigoldchute/admin/http_status.py
@@ -1,4 +1,4 @@
-"""HTTP status of each result code on the administration API."""
+"""Mapping of result codes to HTTP status codes of the administration API."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 NOT_FOUND = 404
 METHOD_NOT_ALLOWED = 405
 CONFLICT = 409
-TOO_LARGE = 413
-UNPROCESSABLE = 422
+CONTENT_TOO_LARGE = 413
+UNPROCESSABLE_CONTENT = 422
 INTERNAL_ERROR = 500
 BAD_GATEWAY = 502
-UNAVAILABLE = 503
+SERVICE_UNAVAILABLE = 503
 
-_BY_CLASS = {
+_STATUS_BY_CLASS = {
     1: BAD_REQUEST,
-    2: UNPROCESSABLE,
-    3: UNAVAILABLE,
+    2: UNPROCESSABLE_CONTENT,
+    3: SERVICE_UNAVAILABLE,
     4: BAD_GATEWAY,
-    5: UNAVAILABLE,
+    5: SERVICE_UNAVAILABLE,
     6: CONFLICT,
     7: UNAUTHORIZED,
 }
-_BY_CODE = {
-    ResultCode.BUNDLE_TOO_LARGE: TOO_LARGE,
+_STATUS_BY_CODE = {
+    ResultCode.BUNDLE_TOO_LARGE: CONTENT_TOO_LARGE,
     ResultCode.BUNDLE_VERSION_NOT_HIGHER: CONFLICT,
     ResultCode.BUNDLE_VERSION_TAKEN: CONFLICT,
     ResultCode.STORE_CONFLICT: CONFLICT,
     ResultCode.STORE_NOT_FOUND: NOT_FOUND,
-    ResultCode.MOVE_INVALID: UNPROCESSABLE,
-    ResultCode.MOVE_DEADLINE_TOO_SHORT: UNPROCESSABLE,
-    ResultCode.MOVE_CAPACITY_TOO_SMALL: UNPROCESSABLE,
-    ResultCode.MOVE_OVERLAP: UNPROCESSABLE,
+    ResultCode.MOVE_INVALID: UNPROCESSABLE_CONTENT,
+    ResultCode.MOVE_DEADLINE_TOO_SHORT: UNPROCESSABLE_CONTENT,
+    ResultCode.MOVE_CAPACITY_TOO_SMALL: UNPROCESSABLE_CONTENT,
+    ResultCode.MOVE_OVERLAP: UNPROCESSABLE_CONTENT,
     ResultCode.MOVE_UNKNOWN: NOT_FOUND,
-    ResultCode.MOVE_VERDICT_UNKNOWN: UNAVAILABLE,
+    ResultCode.MOVE_VERDICT_UNKNOWN: SERVICE_UNAVAILABLE,
 }
 
 
 class UnknownPathError(MarigoldchuteError):
-    """A path that the API does not have."""
+    """The requested path is not part of the API."""
 
 
-class MethodError(MarigoldchuteError):
-    """A method that the path does not take.
+class MethodNotAllowedError(MarigoldchuteError):
+    """The path does not accept the method of the request.
 
     Parameters
     ----------
@@ -60,10 +60,10 @@
 
 
 def http_status_of(exc: MarigoldchuteError) -> int:
-    """Return the HTTP status that tells an error on the API."""
+    """Return the HTTP status code of the response to a failed request."""
     if isinstance(exc, UnknownPathError):
         return NOT_FOUND
-    if isinstance(exc, MethodError):
+    if isinstance(exc, MethodNotAllowedError):
         return METHOD_NOT_ALLOWED
-    status = _BY_CODE.get(exc.code)
-    return status if status is not None else _BY_CLASS[exc.code.exit_status]
+    status = _STATUS_BY_CODE.get(exc.code)
+    return status if status is not None else _STATUS_BY_CLASS[exc.code.exit_status]
--- a/marigoldchute/admin/messages.py
+++ b/marigoldchute/admin/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the administration API, JSON over HTTP."""
+"""Messages of the administration API, encoded as JSON."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RollOrder:
-    """A signed bundle that an operator wants in force.
+    """Request to bring a signed bundle into force.
 
     Parameters
     ----------
@@ -23,14 +23,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class RollResult:
-    """The accepted version."""
+    """Response to a roll request: the accepted version."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True)
 class Failure:
-    """A refusal with its numbered code."""
+    """Response to a failed request, with the numbered result code."""
 
     code: int
     name: str
@@ -39,14 +39,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Health:
-    """Whether the process serves."""
+    """Response of the health endpoint."""
 
     status: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Readiness:
-    """That the node can answer callers, and with which version."""
+    """Response of a node that is ready for callers, with its bundle version."""
 
     version: int
 
@@ -58,13 +58,13 @@
     Parameters
     ----------
     version : int
-        Its version.
+        Version of the bundle.
     digest : str
         SHA-256 of version and chunk digests, in hexadecimal.
     key_id, author : str
-        Who signed it off.
+        Signing key and author of the bundle.
     services, routes, moves : tuple of str
-        Names of what it holds.
+        Names of the bundle's services, routes and moves.
     """
 
     version: int
@@ -78,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class MemberStatus:
-    """One member as an operator sees it."""
+    """Status of one member for operators."""
 
     name: str
     data_centre: str
@@ -90,21 +90,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class MoveStatus:
-    """One move as an operator sees it.
+    """Status of one move for operators.
 
     Parameters
     ----------
     move_id, service : str
-        Move and its service.
+        Id of the move, and the service that it concerns.
     verdict : str
         ``done``, ``taken back``, ``taking back``, ``under way`` or
         ``not known``.
     reason : str
-        Why, when there is a verdict or a fault.
+        Reason of the verdict or the fault; empty when there is neither.
     confirmed, unconfirmed : int
-        Members that have and have not confirmed what the verdict wants.
+        Number of members that have and have not confirmed the share that the verdict
+        requires.
     lowest_share, highest_share : float
-        Range of the shares in force on the members heard from.
+        Range of the shares in force on the members that have reported.
     deadline_ms : int
         Wall-clock deadline in milliseconds since the epoch.
     """
@@ -122,7 +123,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Status:
-    """What one node knows of the mesh."""
+    """Status of the mesh as known to one node."""
 
     node: str
     version: int
--- a/marigoldchute/admin/metrics.py
+++ b/marigoldchute/admin/metrics.py
@@ -20,22 +20,22 @@
     from collections.abc import Iterable, Iterator
 
 
-PREFIX = "marigoldchute"
+METRIC_PREFIX = "marigoldchute"
 US_PER_S = 1_000_000
 
 
 @dataclasses.dataclass(frozen=True)
 class NodeCounts:
-    """Counts that the parts of a node keep since its start.
+    """Counters of a node's components since its start.
 
     Parameters
     ----------
     store_calls : int
         Calls to the platform's object API.
     latencies : tuple of RouteLatency
-        Requests answered.
+        Latency added to requests, by route and outcome.
     counters : mapping of str to int
-        Further counts by name, such as ``retries``.
+        Additional counters by name, such as ``retries``.
     """
 
     store_calls: int
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class MoveShare:
-    """Share of a move that is in force on this node."""
+    """Share of a move in force on this node."""
 
     move_id: str
     service: str
@@ -54,20 +54,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class NodeSnapshot:
-    """Everything that the metrics show.
+    """Values of all metrics at one time.
 
     Parameters
     ----------
     version, newest_version : int
-        Bundle version in force, and the newest one known to be signed.
+        Bundle version in force, and the newest signed version known.
     members : mapping of str to int
         Number of members by state.
     moves : tuple of MoveShare
         Moves of the bundle in force.
     stats : NodeStats
-        Resources spent.
+        Resource usage of the process.
     counts : NodeCounts
-        Counts of the parts.
+        Counters of the components.
     """
 
     version: int
@@ -86,7 +86,7 @@
 
 
 class _SnapshotCollector:
-    """Hands a snapshot to the library's text format."""
+    """Yields the metrics of a snapshot to the ``prometheus_client`` library."""
 
     def __init__(self, snapshot: NodeSnapshot) -> None:
         self._snapshot = snapshot
@@ -114,13 +114,13 @@
 
 def _mesh_metrics(snapshot: NodeSnapshot) -> Iterator[Metric]:
     members = GaugeMetricFamily(
-        f"{PREFIX}_members", "Members known to this node.", labels=["state"]
+        f"{METRIC_PREFIX}_members", "Members known to this node.", labels=["state"]
     )
     for state, count in sorted(snapshot.members.items()):
         members.add_metric([state], count)
     yield members
     shares = GaugeMetricFamily(
-        f"{PREFIX}_move_share",
+        f"{METRIC_PREFIX}_move_share",
         "Share of requests for the new release of a move.",
         labels=["move", "service"],
     )
@@ -131,7 +131,7 @@
 
 def _resource_metrics(stats: NodeStats, store_calls: int) -> Iterator[Metric]:
     link_bytes = CounterMetricFamily(
-        f"{PREFIX}_link_bytes",
+        f"{METRIC_PREFIX}_link_bytes",
         "Bytes on links between nodes, without TCP headers.",
         labels=["purpose", "direction"],
     )
@@ -148,29 +148,29 @@
 
 
 def _latency_metric(latencies: Iterable[RouteLatency]) -> Metric:
-    name = f"{PREFIX}_added_latency_seconds"
+    name = f"{METRIC_PREFIX}_added_latency_seconds"
     metric = Metric(name, "Latency that this node added to requests.", "summary")
-    for item in latencies:
-        labels = {"route": item.route, "outcome": item.outcome}
-        for quantile, latency_us in _quantiles_us(item):
+    for latency in latencies:
+        labels = {"route": latency.route, "outcome": latency.outcome}
+        for quantile, latency_us in _quantiles_us(latency):
             quantile_labels = labels | {"quantile": quantile}
             metric.add_sample(name, quantile_labels, latency_us / US_PER_S)
-        metric.add_sample(f"{name}_count", labels, item.count)
+        metric.add_sample(f"{name}_count", labels, latency.count)
     return metric
 
 
-def _quantiles_us(item: RouteLatency) -> tuple[tuple[str, int], ...]:
+def _quantiles_us(latency: RouteLatency) -> tuple[tuple[str, int], ...]:
     return (
-        ("0.5", item.p50_us),
-        ("0.99", item.p99_us),
-        ("0.999", item.p999_us),
-        ("1", item.max_us),
+        ("0.5", latency.p50_us),
+        ("0.99", latency.p99_us),
+        ("0.999", latency.p999_us),
+        ("1", latency.max_us),
     )
 
 
-def _gauge(name: str, text: str, value: float) -> Metric:
-    return GaugeMetricFamily(f"{PREFIX}_{name}", text, value=value)
+def _gauge(name: str, help_text: str, value: float) -> Metric:
+    return GaugeMetricFamily(f"{METRIC_PREFIX}_{name}", help_text, value=value)
 
 
-def _counter(name: str, text: str, value: float) -> Metric:
-    return CounterMetricFamily(f"{PREFIX}_{name}", text, value=value)
+def _counter(name: str, help_text: str, value: float) -> Metric:
+    return CounterMetricFamily(f"{METRIC_PREFIX}_{name}", help_text, value=value)
--- a/marigoldchute/admin/service.py
+++ b/marigoldchute/admin/service.py
@@ -1,4 +1,4 @@
-"""Operations behind the administration API."""
+"""Implementation of the operations of the administration API."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class AdminService:
-    """Takes operators' orders and tells them what is known."""
+    """Implements the operations of the administration API."""
 
     def __init__(
         self,
@@ -64,25 +64,33 @@
         self._store = store
         self._rollout = rollout
         self.stats = stats
-        self._counts = counts
+        self._collect_counts = counts
 
-    async def roll(self, order: RollOrder) -> RollResult:
-        """Check a signed bundle and write it to the store.
+    async def roll(self, request: RollOrder) -> RollResult:
+        """Validate a signed bundle and write it to the store.
 
         Raises
         ------
         BundleError
-            The bundle is not valid or its version is taken.
+            The bundle is invalid or its version is already used.
         PlatformError
-            The store did not take it, or it is not known whether it did.
+            The store did not accept the bundle, or the outcome is unknown.
         """
-        version = await self._rollout.accept(order.manifest, order.chunks)
+        version = await self._rollout.accept(request.manifest, request.chunks)
         return RollResult(version)
 
     async def cancel(self, move_id: str, author: str, now_ms: int) -> Verdict:
-        """Take a move back unless it is decided; return the verdict that stands."""
-        self._state_of(move_id)
-        wanted = Verdict(
+        """Take a move back unless it is decided, and return the stored verdict.
+
+        Raises
+        ------
+        MoveError
+            The move is unknown, or it already has another verdict.
+        PlatformError
+            The store cannot be reached, or the outcome of the write is unknown.
+        """
+        self._find_move_state(move_id)
+        requested = Verdict(
             move_id,
             VerdictKind.TAKEN_BACK,
             f"cancelled by {author}",
@@ -91,24 +99,24 @@
             secrets.token_hex(8),
             0,
         )
-        standing = await write_verdict(self._store, wanted)
-        self._engine.publish_verdict(standing)
-        if standing.token != wanted.token:
+        stored = await write_verdict(self._store, requested)
+        self._engine.publish_verdict(stored)
+        if stored.token != requested.token:
             raise MoveError(
-                f"{move_id} is already {standing.kind.value}: {standing.reason}",
+                f"{move_id} is already {stored.kind.value}: {stored.reason}",
                 ResultCode.MOVE_ALREADY_DECIDED,
             )
-        return standing
+        return stored
 
     async def verdict(self, move_id: str) -> MoveStatus:
-        """Return the verdict of a move as the store holds it.
+        """Return the status of a move with the verdict that the store holds.
 
         Raises
         ------
         MoveError
-            The move is not known, or the store cannot say.
+            The move is unknown, or the store cannot be read.
         """
-        state = self._state_of(move_id)
+        state = self._find_move_state(move_id)
         try:
             if state.verdict is None:
                 stored = await self._store.get(verdict_key(move_id))
@@ -117,21 +125,21 @@
             pass
         except PlatformError as exc:
             raise MoveError(
-                f"verdict of {move_id} is not known: {exc.message}",
+                f"verdict of {move_id} is unknown: {exc.message}",
                 ResultCode.MOVE_VERDICT_UNKNOWN,
             ) from exc
         return self._move_status(state, await self._reporter.gather())
 
     async def status(self) -> Status:
-        """Return what is known of members and moves."""
-        gathered = await self._reporter.gather()
+        """Return the status of the known members and moves."""
+        reports = await self._reporter.gather()
         members = tuple(
             MemberStatus(
                 member.name,
                 member.data_centre,
                 member.region,
                 member.state.name.lower(),
-                gathered[member.name].version if member.name in gathered else 0,
+                reports[member.name].version if member.name in reports else 0,
                 tuple(
                     f"{server.service}@{server.release}" for server in member.servers
                 ),
@@ -139,7 +147,7 @@
             for member in sorted(self._membership.all(), key=lambda m: m.name)
         )
         moves = tuple(
-            self._move_status(state, gathered) for state in self._engine.states()
+            self._move_status(state, reports) for state in self._engine.states()
         )
         return Status(
             self._membership.local.name,
@@ -150,23 +158,25 @@
         )
 
     def ready(self) -> Readiness:
-        """Return that this node can answer callers.
+        """Return the bundle version if this node is ready for callers.
 
         Raises
         ------
         NotRunError
-            It has no bundle in force, or it drains.
+            No bundle is in force yet, or this node is draining.
         """
         if self._in_force.bundle is None:
             raise NotRunError(
                 "no bundle is in force yet", ResultCode.REQUEST_NOT_RUN_NO_BUNDLE
             )
         if not self._membership.local.usable:
-            raise NotRunError("this node drains", ResultCode.REQUEST_NOT_RUN_DRAINING)
+            raise NotRunError(
+                "this node is draining", ResultCode.REQUEST_NOT_RUN_DRAINING
+            )
         return Readiness(self._in_force.version)
 
     def bundle_in_force(self) -> BundleInForce:
-        """Return what is in force.
+        """Return a description of the bundle in force.
 
         Raises
         ------
@@ -190,8 +200,8 @@
         )
 
     def snapshot(self) -> NodeSnapshot:
-        """Return what the metrics show."""
-        states = collections.Counter(
+        """Return the values of all metrics."""
+        state_counts = collections.Counter(
             member.state.name.lower() for member in self._membership.all()
         )
         moves = tuple(
@@ -201,13 +211,13 @@
         return NodeSnapshot(
             self._in_force.version,
             self._replicator.newest_version,
-            states,
+            state_counts,
             moves,
             self.stats(),
-            self._counts(),
+            self._collect_counts(),
         )
 
-    def _state_of(self, move_id: str) -> MoveState:
+    def _find_move_state(self, move_id: str) -> MoveState:
         for state in self._engine.states():
             if state.move.move_id == move_id:
                 return state
@@ -216,28 +226,28 @@
         )
 
     def _move_status(
-        self, state: MoveState, gathered: dict[str, MemberReport]
+        self, state: MoveState, reports: dict[str, MemberReport]
     ) -> MoveStatus:
         move = state.move
-        wanted = 1.0
+        target_share = 1.0
         verdict = "under way"
         reason = ""
         if state.fault is not None:
             reason = state.fault.reason
         if state.verdict is not None:
             reason = state.verdict.reason
-            wanted = 1.0 if state.verdict.kind is VerdictKind.DONE else 0.0
+            target_share = 1.0 if state.verdict.kind is VerdictKind.DONE else 0.0
         shares: list[float] = []
         confirmed = 0
         members = self._membership.all()
         for member in members:
-            report = gathered.get(member.name)
+            report = reports.get(member.name)
             if report is None or report.incarnation != member.incarnation:
                 continue
-            for item in report.moves:
-                if item.move_id == move.move_id:
-                    shares.append(item.share)
-                    confirmed += item.share == wanted
+            for move_report in report.moves:
+                if move_report.move_id == move.move_id:
+                    shares.append(move_report.share)
+                    confirmed += move_report.share == target_share
         unconfirmed = len(members) - confirmed
         if state.verdict is not None:
             verdict = state.verdict.kind.value
--- a/tests/test_admin/test_metrics.py
+++ b/tests/test_admin/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in the Prometheus text format."""
+"""Tests of the metrics in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
             for sample in family.samples
         }
 
-    def test_text_holds_every_value(self) -> None:
+    def test_text_contains_every_value(self) -> None:
         expected = {
             ("bundle_version",): 4,
             ("bundle_newest_version",): 5,
