--- a/marigoldchute/cmd/__init__.py
+++ b/marigoldchute/cmd/__init__.py
@@ -1,1 +1,1 @@
-"""Entry points of the programs."""
+"""Entry points of the command line programs."""
--- a/marigoldchute/cmd/_bundle_commands.py
+++ b/marigoldchute/cmd/_bundle_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the operator's program for keys and bundles."""
+"""Operator commands for signing keys and bundle files."""
 
 from __future__ import annotations
 
@@ -23,104 +23,104 @@
 from marigoldchute.events import wall_clock_ms
 from marigoldchute.util.jsonc import load_file
 
-KEY_FILE_MODE = 0o600
+KEY_FILE_PERMISSIONS = 0o600
 
-BundlePath = Annotated[
-    str, cappa.Arg(value_name="FILE", help="Bundle file of JSON with comments.")
+BundlePathArg = Annotated[
+    str, cappa.Arg(value_name="FILE", help="Bundle file, JSON with comments.")
 ]
-KeyPath = Annotated[
+KeyPathArg = Annotated[
     str,
     cappa.Arg(
         long="--key",
         short="-k",
         value_name="FILE",
         default=cappa.Env("MARIGOLDCHUTE_KEY", default=""),
-        help="Signing key made by 'keys new'. Also $MARIGOLDCHUTE_KEY.",
+        help="Signing key created by 'keys new'. Also $MARIGOLDCHUTE_KEY.",
     ),
 ]
-OutPath = Annotated[
+OutputPathArg = Annotated[
     str,
     cappa.Arg(
         long="--out",
         short="-o",
         value_name="FILE",
-        help="File to write; standard output when omitted.",
+        help="Output file; standard output if omitted.",
     ),
 ]
-WithinMs = Annotated[
+CompleteWithinMsArg = Annotated[
     int | None,
     cappa.Arg(
         long="--complete-within-ms",
         value_name="MS",
-        help="Time from start to deadline for every move, in place of the file's.",
+        help="Time from start to deadline of every move; overrides the file.",
     ),
 ]
 
 
 def load_key(path: str) -> KeyFile:
-    """Read and check a signing key.
+    """Read and validate a signing key.
 
     Raises
     ------
     MarigoldchuteError
-        It is not given, cannot be read or is not a key.
+        The path is empty, or the file cannot be read or is not a signing key.
     """
     if not path:
         raise MarigoldchuteError(
-            "no signing key: give --key FILE, made by 'marigoldchute-ctl keys new ID'"
+            "no signing key: give --key FILE, created by 'marigoldchute-ctl keys new'"
         )
     return parse_key_file(load_file(path), path)
 
 
-def write_output(value: Any, path: str, mode: int = 0o644) -> None:
-    """Write a value as JSON to a new file, or print it when no path is given.
+def write_output(value: Any, path: str, permissions: int = 0o644) -> None:
+    """Write a value as JSON to a new file, or print it if the path is empty.
 
     Raises
     ------
     MarigoldchuteError
-        The file is there already or cannot be written.
+        The file exists already or cannot be written.
     """
     if not path:
         print_json(value)
         return
     body = msgspec.json.format(msgspec.json.encode(value)) + b"\n"
     try:
-        fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, mode)
+        fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, permissions)
     except OSError as exc:
         raise MarigoldchuteError(f"{path}: cannot be written: {exc.strerror}") from exc
     with os.fdopen(fd, "wb") as file:
         file.write(body)
 
 
-@cappa.command(name="new", help="Make a signing key.")
+@cappa.command(name="new", help="Create a signing key.")
 @dataclasses.dataclass(frozen=True)
 class KeysNewCommand:
-    """Make an Ed25519 key for sign-off.
+    """Create an Ed25519 key for signing bundles.
 
-    The private key stays with the operator; the entry for ``trusted_keys`` in the
+    The private key stays with the operator. The entry for ``trusted_keys`` in the
     nodes' settings is printed.
     """
 
     key_id: Annotated[
         str, cappa.Arg(value_name="KEY_ID", help="Name of the key, e.g. ops-2026.")
     ]
-    out: OutPath = ""
+    out: OutputPathArg = ""
 
     def __call__(self) -> int:
-        """Write the key."""
+        """Create the key and write it to the output."""
         private_key = generate_private_key()
         key = KeyFile(self.key_id, private_key, public_key_of(private_key))
         try:
-            write_output(key, self.out, KEY_FILE_MODE)
+            write_output(key, self.out, KEY_FILE_PERMISSIONS)
         except MarigoldchuteError as exc:
             return report_error(exc)
         if self.out:
-            print(f"{self.out}: keep it secret. For trusted_keys of the settings:")
+            print(f"{self.out}: keep it secret. Entry for trusted_keys in settings:")
             print_json({"key_id": key.key_id, "public_key": key.public_key})
         return 0
 
 
-@cappa.command(name="keys", help="Make keys for sign-off.")
+@cappa.command(name="keys", help="Create signing keys.")
 @dataclasses.dataclass(frozen=True)
 class KeysCommand:
     """Commands for signing keys."""
@@ -131,12 +131,12 @@
 @cappa.command(name="check", help="Check a bundle file without a node.")
 @dataclasses.dataclass(frozen=True)
 class CheckCommand:
-    """Check names, references and moves of a bundle file."""
+    """Validate the names, references and moves of a bundle file."""
 
-    bundle: BundlePath
+    bundle: BundlePathArg
 
     def __call__(self) -> int:
-        """Check the file."""
+        """Validate the file and print a summary."""
         try:
             value = load_file(self.bundle)
             content = content_of_file(value, self.bundle, wall_clock_ms())
@@ -149,17 +149,17 @@
         return 0
 
 
-@cappa.command(name="build", help="Check a bundle file and fix its times.")
+@cappa.command(name="build", help="Check a bundle file and make its times absolute.")
 @dataclasses.dataclass(frozen=True)
 class BuildCommand:
-    """Build the content to sign; the moves' times count from now."""
+    """Build the content to sign, with the moves' times counted from now."""
 
-    bundle: BundlePath
-    out: OutPath = ""
-    complete_within_ms: WithinMs = None
+    bundle: BundlePathArg
+    out: OutputPathArg = ""
+    complete_within_ms: CompleteWithinMsArg = None
 
     def __call__(self) -> int:
-        """Build the content."""
+        """Build the content and write it to the output."""
         try:
             content = content_of_file(
                 load_file(self.bundle),
@@ -173,26 +173,26 @@
         return 0
 
 
-@cappa.command(name="sign", help="Sign off a bundle for a later roll.")
+@cappa.command(name="sign", help="Sign a bundle for a later roll.")
 @dataclasses.dataclass(frozen=True)
 class SignCommand:
-    """Sign a bundle file or a built bundle as a version."""
+    """Sign a bundle file or a built bundle with a version number."""
 
-    bundle: BundlePath
-    key: KeyPath
+    bundle: BundlePathArg
+    key: KeyPathArg
     version: Annotated[
         int,
         cappa.Arg(
             long="--as-version",
             value_name="N",
-            help="Version that the bundle becomes; one above 'status' shows.",
+            help="Version of the signed bundle, one above the newest in 'status'.",
         ),
     ]
-    out: OutPath = ""
-    complete_within_ms: WithinMs = None
+    out: OutputPathArg = ""
+    complete_within_ms: CompleteWithinMsArg = None
 
     def __call__(self) -> int:
-        """Sign the bundle."""
+        """Sign the bundle and write it to the output."""
         try:
             key = load_key(self.key)
             value = load_file(self.bundle)
@@ -201,8 +201,8 @@
             )
             if self.version < 1:
                 raise MarigoldchuteError("--as-version must be at least 1")
-            order = sign_content(content, self.version, key, getpass.getuser())
-            write_output(order, self.out)
+            roll_order = sign_content(content, self.version, key, getpass.getuser())
+            write_output(roll_order, self.out)
         except MarigoldchuteError as exc:
             return report_error(exc)
         return 0
--- a/marigoldchute/cmd/_connection.py
+++ b/marigoldchute/cmd/_connection.py
@@ -1,4 +1,4 @@
-"""Arguments by which the operator's commands reach a node."""
+"""Connection arguments of the operator commands."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Connection:
-    """Which node to ask, with which token, and how to print.
+    """Node to call, admin token and output format.
 
     Parameters
     ----------
     node : str
         ``address`` or ``address:port`` of the administration API.
     token_file : str
-        File that holds the admin token.
+        File that contains the admin token.
     as_json : bool
-        Whether to print JSON.
+        Whether to print JSON instead of text.
     """
 
     node: Annotated[
@@ -40,8 +40,8 @@
             short="-n",
             value_name="ADDRESS[:PORT]",
             default=cappa.Env(NODE_VARIABLE, default=""),
-            help=f"Node to ask, by IP number; port {ADMIN_PORT} unless given. "
-            f"Any member will do. Also ${NODE_VARIABLE}.",
+            help=f"Node to call, by IP address; port {ADMIN_PORT} by default. "
+            f"Any member works. Also ${NODE_VARIABLE}.",
         ),
     ]
     token_file: Annotated[
@@ -60,16 +60,16 @@
     ] = False
 
     def client(self) -> AdminClient:
-        """Return a client of the node.
+        """Return a client of the node's administration API.
 
         Raises
         ------
         MarigoldchuteError
-            The address or the token is missing or not valid.
+            The address or the token is missing or invalid.
         """
-        return AdminClient(parse_node_address(self.node), self._token())
+        return AdminClient(parse_node_address(self.node), self._read_token())
 
-    def _token(self) -> str:
+    def _read_token(self) -> str:
         if not self.token_file:
             token = os.environ.get(TOKEN_VARIABLE, "")
             if not token:
@@ -91,12 +91,12 @@
 
 
 def parse_node_address(text: str) -> str:
-    """Check ``address`` or ``address:port`` and return it with a port.
+    """Validate ``address`` or ``address:port`` and return it with a port.
 
     Raises
     ------
     MarigoldchuteError
-        It is missing, or not an IP number with a port from 1 to 65535.
+        The text is empty, or not an IPv4 address with a port from 1 to 65535.
     """
     if not text:
         raise MarigoldchuteError(
@@ -107,7 +107,7 @@
         ipaddress.IPv4Address(address)
     except ValueError as exc:
         raise MarigoldchuteError(
-            f"--node {text!r}: {address!r} is not an IP number like 10.1.2.3"
+            f"--node {text!r}: {address!r} is not an IP address like 10.1.2.3"
         ) from exc
     if not colon:
         return f"{address}:{ADMIN_PORT}"
--- a/marigoldchute/cmd/_mesh_commands.py
+++ b/marigoldchute/cmd/_mesh_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the operator's program that ask a node."""
+"""Operator commands that call a node."""
 
 from __future__ import annotations
 
@@ -16,11 +16,16 @@
     parse_signed,
     sign_content,
 )
-from marigoldchute.cmd._bundle_commands import BundlePath, KeyPath, WithinMs, load_key
+from marigoldchute.cmd._bundle_commands import (
+    BundlePathArg,
+    CompleteWithinMsArg,
+    KeyPathArg,
+    load_key,
+)
 from marigoldchute.cmd._connection import Connection
 from marigoldchute.cmd._program import print_json, run_action
 from marigoldchute.cmd._render import (
-    DECIDED,
+    DECIDED_VERDICTS,
     render_members,
     render_move,
     render_status,
@@ -29,27 +34,29 @@
 from marigoldchute.events import wall_clock_ms
 from marigoldchute.util.jsonc import load_file
 
-POLL_S = 0.2
+POLL_INTERVAL_S = 0.2
 WATCH_INTERVAL_S = 1.0
 CLEAR_SCREEN = "\x1b[H\x1b[2J"
 
-MoveId = Annotated[str, cappa.Arg(value_name="MOVE", help="Move id from the bundle.")]
-Link = Annotated[Connection, cappa.Arg.destructured()]
+MoveIdArg = Annotated[
+    str, cappa.Arg(value_name="MOVE", help="Id of the move in the bundle.")
+]
+ConnectionArg = Annotated[Connection, cappa.Arg.destructured()]
 
 
-@cappa.command(name="roll", help="Sign off a bundle and roll it, or roll a signed one.")
+@cappa.command(name="roll", help="Sign a bundle and roll it, or roll a signed one.")
 @dataclasses.dataclass(frozen=True)
 class RollCommand:
-    """Hand a bundle to a node, which writes it to the store.
+    """Send a bundle to a node, which writes it to the store.
 
-    FILE is a bundle file, a built bundle, or a bundle signed by 'bundle sign'; the
-    last needs no key here.
+    FILE is a bundle file, a built bundle, or a bundle signed by 'bundle sign'. A
+    signed bundle needs no key.
     """
 
-    bundle: BundlePath
-    connection: Link
-    key: KeyPath
-    complete_within_ms: WithinMs = None
+    bundle: BundlePathArg
+    connection: ConnectionArg
+    key: KeyPathArg
+    complete_within_ms: CompleteWithinMsArg = None
 
     def __call__(self) -> int:
         """Roll the bundle."""
@@ -59,37 +66,37 @@
         value = load_file(self.bundle)
         client = self.connection.client()
         if is_signed_file(value):
-            self._refuse_new_limit()
-            order = parse_signed(value, self.bundle)
+            self._reject_complete_within_ms()
+            roll_order = parse_signed(value, self.bundle)
         else:
             key = load_key(self.key)
             content = content_of_file(
                 value, self.bundle, wall_clock_ms(), self.complete_within_ms
             )
             version = (await client.status()).newest_version + 1
-            order = sign_content(content, version, key, getpass.getuser())
-        result = await client.roll(order)
+            roll_order = sign_content(content, version, key, getpass.getuser())
+        result = await client.roll(roll_order)
         if self.connection.as_json:
             print_json(result)
         else:
             print(f"version {result.version} is accepted")
         return 0
 
-    def _refuse_new_limit(self) -> None:
+    def _reject_complete_within_ms(self) -> None:
         if self.complete_within_ms is not None:
             raise MarigoldchuteError(
                 "--complete-within-ms cannot change a signed bundle; sign it again"
             )
 
 
-@cappa.command(name="status", help="Show versions, members and moves at a glance.")
+@cappa.command(name="status", help="Show versions, members and moves.")
 @dataclasses.dataclass(frozen=True)
 class StatusCommand:
-    """Show what a node knows of the mesh."""
+    """Show the state of the mesh as reported by a node."""
 
-    connection: Link
+    connection: ConnectionArg
     watch: Annotated[
-        bool, cappa.Arg(long=True, short="-w", help="Show it anew each second.")
+        bool, cappa.Arg(long=True, short="-w", help="Refresh the status every second.")
     ] = False
 
     def __call__(self) -> int:
@@ -114,9 +121,9 @@
 @cappa.command(name="members", help="Show every member and its backend servers.")
 @dataclasses.dataclass(frozen=True)
 class MembersCommand:
-    """Show the members that a node knows."""
+    """Show the members in the membership view of a node."""
 
-    connection: Link
+    connection: ConnectionArg
 
     def __call__(self) -> int:
         """Show the members."""
@@ -134,16 +141,16 @@
 @cappa.command(name="verdict", help="Show whether a move is done or taken back.")
 @dataclasses.dataclass(frozen=True)
 class VerdictCommand:
-    """Show a verdict.
+    """Show the verdict of a move.
 
-    The exit status is 0 for done, and for a move that is still under way unless
-    --wait is given; it is 6 for a move that was taken back or is not known.
+    The exit status is 0 if the move is done or, without --wait, still under way. It is
+    6 if the move was taken back or is unknown.
     """
 
-    move: MoveId
-    connection: Link
+    move: MoveIdArg
+    connection: ConnectionArg
     wait: Annotated[
-        bool, cappa.Arg(long=True, short="-w", help="Wait until it is final.")
+        bool, cappa.Arg(long=True, short="-w", help="Wait until the verdict is final.")
     ] = False
 
     def __call__(self) -> int:
@@ -154,10 +161,10 @@
         client = self.connection.client()
         while True:
             move = await client.verdict(self.move)
-            if move.verdict in DECIDED or not self.wait:
+            if move.verdict in DECIDED_VERDICTS or not self.wait:
                 break
-            await trio.sleep(POLL_S)
-        _print_either(move, render_move(move, wall_clock_ms()), self.connection)
+            await trio.sleep(POLL_INTERVAL_S)
+        _print_result(move, render_move(move, wall_clock_ms()), self.connection)
         if move.verdict in ("taken back", "taking back"):
             return ResultCode.MOVE_TAKEN_BACK.exit_status
         return 0
@@ -166,10 +173,10 @@
 @cappa.command(name="cancel", help="Take a move back.")
 @dataclasses.dataclass(frozen=True)
 class CancelCommand:
-    """Take a move back, unless its verdict stands already."""
+    """Take a move back, unless it is already decided."""
 
-    move: MoveId
-    connection: Link
+    move: MoveIdArg
+    connection: ConnectionArg
 
     def __call__(self) -> int:
         """Cancel the move."""
@@ -179,11 +186,11 @@
         client = self.connection.client()
         verdict = await client.cancel(self.move, getpass.getuser())
         text = f"{verdict.move_id} is {verdict.kind.value}: {verdict.reason}"
-        _print_either(verdict, text, self.connection)
+        _print_result(verdict, text, self.connection)
         return 0
 
 
-def _print_either(value: Any, text: str, connection: Connection) -> None:
+def _print_result(value: Any, text: str, connection: Connection) -> None:
     if connection.as_json:
         print_json(value)
     else:
--- a/marigoldchute/cmd/_program.py
+++ b/marigoldchute/cmd/_program.py
@@ -1,4 +1,4 @@
-"""What the programs share: running a command line and ending with a status."""
+"""Command line parsing, exit status and error output shared by the programs."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-INTERRUPTED_STATUS = 130
+INTERRUPTED_EXIT_STATUS = 130
 
 
 def run_program(command: type) -> NoReturn:
-    """Run the command of the process's command line and exit."""
+    """Run the command in the command line of this process and exit."""
     sys.exit(run_command_line(command))
 
 
 def run_command_line(command: type, argv: list[str] | None = None) -> int:
     """Parse a command line, run the command and return the exit status.
 
-    The status is 0 or the class of the result code; a command line that cannot be
-    parsed is class 1, input.
+    The status is 0 or the class of the result code. A command line that cannot be
+    parsed has class 1, input.
 
     Parameters
     ----------
     command : type
         Class of the command.
     argv : list of str, optional
-        Arguments without the program's name; those of the process by default.
+        Arguments without the program's name; by default those of the process.
     """
     color = sys.stdout.isatty()
     try:
@@ -43,19 +43,20 @@
     except cappa.Exit as exc:
         return ResultCode.ARGUMENT_INVALID.exit_status if exc.code else 0
     except KeyboardInterrupt:
-        return INTERRUPTED_STATUS
+        return INTERRUPTED_EXIT_STATUS
     except BrokenPipeError:
-        sys.stdout = None  # type: ignore[assignment]  # nobody reads what is left
+        # The reader has closed the pipe, so the interpreter must not flush it at exit.
+        sys.stdout = None  # type: ignore[assignment]
         return 0
 
 
 def run_action(action: Callable[[], Awaitable[int]], as_json: bool = False) -> int:
-    """Run an asynchronous command and report the project's errors.
+    """Run an asynchronous command and print its error, if any.
 
     Parameters
     ----------
     action : callable
-        Returns the exit status.
+        Asynchronous function that returns the exit status.
     as_json : bool
         Whether an error is printed as JSON.
 
--- a/marigoldchute/cmd/_render.py
+++ b/marigoldchute/cmd/_render.py
@@ -1,4 +1,4 @@
-"""Text that the operator's program prints for people."""
+"""Human-readable output of the operator's program."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
     from marigoldchute.admin.messages import MemberStatus, MoveStatus, Status
 
 BAR_WIDTH = 20
-DECIDED = ("done", "taken back")
+DECIDED_VERDICTS = ("done", "taken back")
 
 
 def render_status(status: Status, now_ms: int) -> str:
-    """Return the status of the mesh at a glance.
+    """Return a summary of the mesh status.
 
     Parameters
     ----------
     status : Status
-        What a node knows.
+        Status as reported by a node.
     now_ms : int
         Wall-clock time in milliseconds since the epoch.
     """
@@ -36,12 +36,12 @@
 
 
 def render_move(move: MoveStatus, now_ms: int) -> str:
-    """Return one move at a glance."""
+    """Return a summary of one move."""
     return "\n".join(_move_lines(move, now_ms))
 
 
 def render_members(members: Iterable[MemberStatus]) -> str:
-    """Return a table of members."""
+    """Return a table of members and their backend servers."""
     rows = [("member", "data centre", "region", "state", "version", "backend servers")]
     rows += [
         (
@@ -58,23 +58,25 @@
 
 
 def render_bar(part: int, whole: int) -> str:
-    """Return a bar of ``BAR_WIDTH`` characters; full only when all are counted."""
+    """Return a bar of ``BAR_WIDTH`` characters, full only if ``part`` is ``whole``."""
     filled = BAR_WIDTH * part // whole if whole else 0
     return "[" + "#" * filled + "." * (BAR_WIDTH - filled) + "]"
 
 
 def _convergence_lines(status: Status) -> list[str]:
-    centres: dict[tuple[str, str], list[MemberStatus]] = {}
+    members_by_data_centre: dict[tuple[str, str], list[MemberStatus]] = {}
     for member in status.members:
-        centres.setdefault((member.region, member.data_centre), []).append(member)
+        members_by_data_centre.setdefault(
+            (member.region, member.data_centre), []
+        ).append(member)
     rows = [("region", "data centre", "newest in force", "", "members")]
-    for (region, centre), members in sorted(centres.items()):
+    for (region, data_centre), members in sorted(members_by_data_centre.items()):
         at_newest = sum(m.version == status.newest_version for m in members)
         states = collections.Counter(member.state for member in members)
         rows.append(
             (
                 region,
-                centre,
+                data_centre,
                 render_bar(at_newest, len(members)),
                 f"{at_newest}/{len(members)}",
                 ", ".join(f"{count} {state}" for state, count in states.items()),
@@ -94,15 +96,15 @@
     ]
     if move.reason:
         lines.append(f"  reason     {move.reason}")
-    if move.verdict not in DECIDED:
-        lines.append(f"  time left  {_time_left(move.deadline_ms - now_ms)}")
+    if move.verdict not in DECIDED_VERDICTS:
+        lines.append(f"  time left  {_format_time_left(move.deadline_ms - now_ms)}")
     return lines
 
 
-def _time_left(left_ms: int) -> str:
-    if left_ms < 0:
-        return f"none, the deadline was {-left_ms / 1000:.1f} s ago"
-    return f"{left_ms / 1000:.1f} s"
+def _format_time_left(remaining_ms: int) -> str:
+    if remaining_ms < 0:
+        return f"none, the deadline was {-remaining_ms / 1000:.1f} s ago"
+    return f"{remaining_ms / 1000:.1f} s"
 
 
 def _table(rows: Sequence[tuple[str, ...]]) -> str:
--- a/marigoldchute/cmd/ctl.py
+++ b/marigoldchute/cmd/ctl.py
@@ -1,4 +1,4 @@
-"""marigoldchute-ctl: the operator's program."""
+"""marigoldchute-ctl: command line program for operators."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from marigoldchute.cmd._program import run_program
 
 DESCRIPTION = """
-A first roll:
+Example of a first roll:
 
     marigoldchute-ctl keys new ops-1 --out ops-1.json
 
@@ -32,7 +32,7 @@
     marigoldchute-ctl verdict turnos-r2 --wait
 
 The exit status is 0, or the class of the result code: 1 input, 2 bundle, 3 store,
-4 node not reached, 5 request, 6 move taken back or not known, 7 token or key refused.
+4 node unreachable, 5 request, 6 move taken back or unknown, 7 token or key rejected.
 Completion: marigoldchute-ctl --completion generate
 """
 
@@ -44,7 +44,7 @@
 )
 @dataclasses.dataclass(frozen=True)
 class CtlCommand:
-    """Command line of the operator's program."""
+    """Command line of ``marigoldchute-ctl``."""
 
     command: cappa.Subcommands[
         KeysCommand
--- a/marigoldchute/cmd/demo.py
+++ b/marigoldchute/cmd/demo.py
@@ -1,4 +1,4 @@
-"""marigoldchute-demo: a mesh of real processes, one good and one bad move."""
+"""marigoldchute-demo: a mesh of real processes with one good and one bad move."""
 
 from __future__ import annotations
 
@@ -36,20 +36,22 @@
     import types
     from collections.abc import Iterator
 
-DATA_CENTRES = 4
+NUM_DATA_CENTRES = 4
 VMS_PER_DATA_CENTRE = 2
-TIME_LIMIT_S = 55.0
+TIMEOUT_S = 55.0
 CALLS_PER_S = 160.0
 CALLED_PATHS = ("/turnos/1", "/reservas/1")
 BAD_ERROR_SHARE = 0.5
-BAD_SERVICE_VMS = ("cartago-norte", "limon-muelle")
+BAD_SERVICE_DATA_CENTRES = ("cartago-norte", "limon-muelle")
 GOOD_MOVE = "turnos-r2"
 BAD_MOVE = "reservas-r2"
-FAILED_STATUS = 6
+FAILED_EXIT_STATUS = 6
 MEMBERSHIP_PART = "membership"
 
 
-def _move(move_id: str, service: str, complete_within_ms: int) -> dict[str, object]:
+def _build_move(
+    move_id: str, service: str, complete_within_ms: int
+) -> dict[str, object]:
     return {
         "move_id": move_id,
         "service": service,
@@ -65,7 +67,7 @@
     }
 
 
-def _bundle(turnos_release: str, move: dict[str, object]) -> dict[str, object]:
+def _build_bundle(turnos_release: str, move: dict[str, object]) -> dict[str, object]:
     routes = [
         {"name": name, "path_prefix": f"/{name}", "service": name}
         for name in ("turnos", "reservas")
@@ -79,14 +81,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Verdicts:
-    """Final state of the two moves."""
+    """Final status of the two moves."""
 
     good: MoveStatus
     bad: MoveStatus
 
     @property
-    def right(self) -> bool:
-        """Whether the good move is done and the bad one taken back for its fault."""
+    def as_expected(self) -> bool:
+        """Whether the good move is done and the bad one taken back for its errors."""
         return (
             self.good.verdict == "done"
             and self.bad.verdict == "taken back"
@@ -95,19 +97,19 @@
 
 
 class Demo:
-    """Plays the demo on a mesh and tells what happens."""
+    """Runs the demo on a mesh and prints its progress."""
 
     def __init__(self, mesh: Mesh, seed: int) -> None:
         self._mesh = mesh
         self._seed = seed
-        self._start = trio.current_time()
+        self._started_at = trio.current_time()
         self._vms = mesh.plan.vms
 
     async def run(self) -> Verdicts:
-        """Run the mesh and both moves; return their verdicts."""
-        self._say(
-            f"{len(self._vms)} VMs in {DATA_CENTRES} data centres of two regions, "
-            "each a node process, with stand-ins of the store and backend servers."
+        """Start the mesh, run both moves and return their verdicts."""
+        self._print_progress(
+            f"{len(self._vms)} VMs in {NUM_DATA_CENTRES} data centres of two regions, "
+            "each with a node process; store and backend servers are stand-ins."
         )
         self._start_processes()
         await self._wait_for_members()
@@ -116,32 +118,38 @@
             origins, ["/turnos/1", "/reservas/1"], CALLS_PER_S, self._seed
         )
         async with trio.open_nursery() as nursery:
-            verdicts = await self._play(nursery, callers)
+            verdicts = await self._run_moves(nursery, callers)
             nursery.cancel_scope.cancel()
-        self._say("Answers to callers:")
+        self._print_progress("Responses to callers:")
         for outcome, count in sorted(
             callers.outcomes.items(), key=lambda item: (item[0].path, item[0].result)
         ):
             print(f"    {outcome.path:<12} {outcome.result:<16} {count}")
         return verdicts
 
-    async def _play(self, nursery: trio.Nursery, callers: Callers) -> Verdicts:
-        self._say(f"Rolls version 1: move {GOOD_MOVE} to a good release.")
-        await self._roll(_bundle("r1", _move(GOOD_MOVE, "turnos", 15000)))
+    async def _run_moves(self, nursery: trio.Nursery, callers: Callers) -> Verdicts:
+        self._print_progress(f"Rolling version 1: move {GOOD_MOVE} to a good release.")
+        await self._roll_bundle(
+            _build_bundle("r1", _build_move(GOOD_MOVE, "turnos", 15000))
+        )
         await self._mesh.wait_until(
             self._vms[-1].name, lambda s: all(m.version == 1 for m in s.members)
         )
-        self._say("Version 1 is in force on every member; callers start.")
+        self._print_progress(
+            "Version 1 is in force on every member; starting the callers."
+        )
         nursery.start_soon(callers.run)
-        good = await self._verdict(GOOD_MOVE)
-        self._say(
-            f"Rolls version 2: move {BAD_MOVE} to a release that fails "
+        good = await self._wait_for_verdict(GOOD_MOVE)
+        self._print_progress(
+            f"Rolling version 2: move {BAD_MOVE} to a release that fails "
             f"{BAD_ERROR_SHARE:.0%} of its requests."
         )
-        await self._roll(_bundle("r2", _move(BAD_MOVE, "reservas", 15000)))
-        bad = await self._verdict(BAD_MOVE)
+        await self._roll_bundle(
+            _build_bundle("r2", _build_move(BAD_MOVE, "reservas", 15000))
+        )
+        bad = await self._wait_for_verdict(BAD_MOVE)
         status = await self._mesh.admin(self._vms[0].name).status()
-        self._say("Status at the end:")
+        self._print_progress("Final status:")
         print(render_status(status, wall_clock_ms()))
         return Verdicts(good, bad)
 
@@ -152,21 +160,26 @@
         for vm in self._vms:
             release = "r1" if vm.name.endswith("-1") else "r2"
             self._start_backend(vm.address, 0, "turnos", release, 0.0)
-            if vm.data_centre in BAD_SERVICE_VMS:
-                errors = BAD_ERROR_SHARE if release == "r2" else 0.0
-                self._start_backend(vm.address, 1, "reservas", release, errors)
+            if vm.data_centre in BAD_SERVICE_DATA_CENTRES:
+                error_share = BAD_ERROR_SHARE if release == "r2" else 0.0
+                self._start_backend(vm.address, 1, "reservas", release, error_share)
 
     def _start_backend(
-        self, address: str, offset: int, service: str, release: str, errors: float
+        self,
+        address: str,
+        port_offset: int,
+        service: str,
+        release: str,
+        error_share: float,
     ) -> None:
         self._mesh.start_backend(
             BackendSettings(
                 address,
-                BACKEND_PORT + offset,
+                BACKEND_PORT + port_offset,
                 INTERNAL_PORT,
                 service,
                 release,
-                error_share=errors,
+                error_share=error_share,
                 seed=self._seed,
             )
         )
@@ -181,38 +194,40 @@
                 ),
                 timeout_s=30.0,
             )
-        self._say("Every node knows every member and its backend servers.")
+        self._print_progress(
+            "Every node has discovered every member and its backend servers."
+        )
 
-    async def _roll(self, bundle: dict[str, object]) -> None:
+    async def _roll_bundle(self, bundle: dict[str, object]) -> None:
         path = self._mesh.directory / "bundle.json"
         path.write_text(json.dumps(bundle, indent=2))
         key = str(self._mesh.key_path)
-        await self._ctl("roll", str(path), "--key", key)
+        await self._run_ctl("roll", str(path), "--key", key)
 
-    async def _verdict(self, move_id: str) -> MoveStatus:
-        out = await self._ctl("verdict", move_id, "--wait", "--json")
+    async def _wait_for_verdict(self, move_id: str) -> MoveStatus:
+        out = await self._run_ctl("verdict", move_id, "--wait", "--json")
         status = msgspec.json.decode(out, type=MoveStatus)
         print(render_move(status, wall_clock_ms()))
         return status
 
-    async def _ctl(self, *args: str) -> str:
+    async def _run_ctl(self, *args: str) -> str:
         node = f"{self._vms[0].address}"
         command = [*args, "--node", node]
-        done = await trio.to_thread.run_sync(self._mesh.run_ctl, command)
-        if not done.stdout:
-            raise MarigoldchuteError(f"ctl {' '.join(args)}: {done.stderr.strip()}")
-        return done.stdout
+        process = await trio.to_thread.run_sync(self._mesh.run_ctl, command)
+        if not process.stdout:
+            raise MarigoldchuteError(f"ctl {' '.join(args)}: {process.stderr.strip()}")
+        return process.stdout
 
-    def _say(self, text: str) -> None:
-        print(f"[{trio.current_time() - self._start:5.1f} s] {text}", flush=True)
+    def _print_progress(self, text: str) -> None:
+        print(f"[{trio.current_time() - self._started_at:5.1f} s] {text}", flush=True)
 
 
 @contextlib.contextmanager
 def running_mesh(seed: int) -> Iterator[Mesh]:
-    """Give a mesh of the demo's size and end its processes."""
+    """Yield a mesh of the demo's size and stop its processes on exit."""
     block = LoopbackBlock()
     with tempfile.TemporaryDirectory(prefix="marigoldchute-demo-") as directory:
-        plan = plan_mesh(block.number, DATA_CENTRES, VMS_PER_DATA_CENTRE)
+        plan = plan_mesh(block.number, NUM_DATA_CENTRES, VMS_PER_DATA_CENTRE)
         mesh = Mesh(plan, pathlib.Path(directory), seed)
         mesh.write_key()
         try:
@@ -225,7 +240,7 @@
 @cappa.command(
     name="marigoldchute-demo",
     help="Run a mesh of real processes with one good and one bad move.",
-    description="Needs loopback addresses only and takes less than a minute. The exit "
+    description="Uses only loopback addresses and takes less than a minute. The exit "
     "status is 0 only if the good move is done and the bad one is taken back.",
 )
 @dataclasses.dataclass(frozen=True)
@@ -237,7 +252,11 @@
     ] = 1
     keep_logs: Annotated[
         str,
-        cappa.Arg(long="--keep-logs", value_name="FILE", help="Also write all events."),
+        cappa.Arg(
+            long="--keep-logs",
+            value_name="FILE",
+            help="Also write all events to a file.",
+        ),
     ] = ""
 
     def __call__(self) -> int:
@@ -250,22 +269,22 @@
                 print(f"demo failed: {exc!r}", file=sys.stderr)
                 verdicts = None
             self._print_timeline(mesh)
-        return _report(verdicts)
+        return _print_verdicts(verdicts)
 
     async def _run(self, mesh: Mesh) -> Verdicts:
-        with trio.fail_after(TIME_LIMIT_S):
+        with trio.fail_after(TIMEOUT_S):
             return await Demo(mesh, self.seed).run()
 
     def _print_timeline(self, mesh: Mesh) -> None:
         mesh.stop()
         logs = [path.read_bytes().splitlines() for path in mesh.directory.glob("*.log")]
         timeline = merge_lines(logs)
-        print(f"\nTime line over {len(logs)} processes, in causal order:")
+        print(f"\nTime line of {len(logs)} processes, in causal order:")
         for event in timeline.events:
             if event.part != MEMBERSHIP_PART:
                 print(format_event(event))
         hidden = sum(event.part == MEMBERSHIP_PART for event in timeline.events)
-        print(f"({hidden} events of {MEMBERSHIP_PART} are left out)")
+        print(f"({hidden} events of {MEMBERSHIP_PART} are not shown)")
         if self.keep_logs:
             lines = b"\n".join(line for log in logs for line in log)
             pathlib.Path(self.keep_logs).write_bytes(lines + b"\n")
@@ -275,14 +294,18 @@
     raise KeyboardInterrupt
 
 
-def _report(verdicts: Verdicts | None) -> int:
+def _print_verdicts(verdicts: Verdicts | None) -> int:
     if verdicts is None:
-        return FAILED_STATUS
+        return FAILED_EXIT_STATUS
     print("\nVerdicts:")
     for move in (verdicts.good, verdicts.bad):
         print(f"    {move.move_id:<12} {move.verdict}: {move.reason}")
-    print("Both verdicts are right." if verdicts.right else "A verdict is wrong.")
-    return 0 if verdicts.right else FAILED_STATUS
+    print(
+        "Both verdicts are as expected."
+        if verdicts.as_expected
+        else "A verdict is not as expected."
+    )
+    return 0 if verdicts.as_expected else FAILED_EXIT_STATUS
 
 
 def main() -> None:
--- a/marigoldchute/cmd/node.py
+++ b/marigoldchute/cmd/node.py
@@ -1,4 +1,4 @@
-"""marigoldchute-node: the process on each backend server VM."""
+"""marigoldchute-node: the node process of a backend server VM."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from marigoldchute.events import EventLog
 from marigoldchute.node import Node
 
-GC_ALLOCATIONS = 20_000
-GC_YOUNG_RUNS = 20
-GC_MIDDLE_RUNS = 50
+GC_THRESHOLD_0 = 20_000
+GC_THRESHOLD_1 = 20
+GC_THRESHOLD_2 = 50
 
 
 @cappa.command(
     name="marigoldchute-node",
     help="Run the node of one VM.",
     description="Example: marigoldchute-node settings.json\n\n"
-    "SIGTERM drains and stops, SIGINT stops at once. Events go to standard output, "
-    "one JSON object a line.",
+    "SIGTERM drains and stops, SIGINT stops at once. Events are written to standard "
+    "output, one JSON object per line.",
 )
 @dataclasses.dataclass(frozen=True)
 class NodeCommand:
@@ -37,22 +37,23 @@
     Parameters
     ----------
     settings : str
-        Settings file of JSON with comments.
+        Settings file, JSON with comments.
     check_settings : bool
-        Only check the settings.
+        Whether to check the settings and exit.
     seed : int, optional
-        Seed of the random choices; random when omitted.
+        Seed of the random number generator; random by default.
     """
 
     settings: Annotated[
-        str, cappa.Arg(value_name="FILE", help="Settings, JSON with comments.")
+        str, cappa.Arg(value_name="FILE", help="Settings file, JSON with comments.")
     ]
     check_settings: Annotated[
         bool,
         cappa.Arg(long="--check-settings", help="Only check the settings and exit."),
     ] = False
     seed: Annotated[
-        int | None, cappa.Arg(long="--seed", help="Seed of random choices, for tests.")
+        int | None,
+        cappa.Arg(long="--seed", help="Seed of the random choices, for tests."),
     ] = None
 
     def __call__(self) -> int:
@@ -68,19 +69,19 @@
             check_ports_free(cfg)
         except MarigoldchuteError as exc:
             return report_error(exc)
-        _calm_collector()
+        _tune_garbage_collector()
         node = Node(cfg, EventLog(cfg.name), random.Random(self.seed))
         trio.run(_run_until_signal, node)
         return 0
 
 
 def check_ports_free(cfg: NodeSettings) -> None:
-    """Check that the node can listen, so that it fails at once and says why.
+    """Check that the node can listen on its ports, so that it fails before it starts.
 
     Raises
     ------
     SettingsError
-        An address is not this machine's, or a port is in use or not allowed.
+        The address is not one of this machine, or a port is in use or not allowed.
     """
     for name in ("caller_port", "internal_port", "peer_port", "admin_port"):
         port = getattr(cfg, name)
@@ -96,22 +97,23 @@
                 ) from exc
 
 
-def _calm_collector() -> None:
-    """Make garbage collections rare and short, for the tail of the latencies.
+def _tune_garbage_collector() -> None:
+    """Make garbage collections rare and short, because they add to tail latency.
 
-    Requests leave few cycles; what the modules hold for good is not looked at again.
+    Requests leave few reference cycles. Objects that live as long as the process are
+    frozen, so that collections skip them.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_ALLOCATIONS, GC_YOUNG_RUNS, GC_MIDDLE_RUNS)
+    gc.set_threshold(GC_THRESHOLD_0, GC_THRESHOLD_1, GC_THRESHOLD_2)
 
 
 async def _run_until_signal(node: Node) -> None:
     async with trio.open_nursery() as nursery:
         nursery.start_soon(node.run)
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-            async for number in signals:
-                if number == signal.SIGTERM:
+            async for signal_number in signals:
+                if signal_number == signal.SIGTERM:
                     break
                 nursery.cancel_scope.cancel()
                 return
--- a/marigoldchute/cmd/standin.py
+++ b/marigoldchute/cmd/standin.py
@@ -1,4 +1,4 @@
-"""marigoldchute-standin: stand-ins for the store and for backend servers."""
+"""marigoldchute-standin: stand-ins for store, backend servers, network and load."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from marigoldchute.standins.store import serve_store
 
 
-@cappa.command(name="store", help="Serve a stand-in of the platform's object API.")
+@cappa.command(name="store", help="Serve a stand-in for the platform's object API.")
 @dataclasses.dataclass(frozen=True)
 class StoreCommand:
     """Serve the store stand-in on an address and port."""
@@ -25,20 +25,20 @@
     port: int
 
     def __call__(self) -> int:
-        """Serve until stopped."""
+        """Serve until the process is stopped."""
         trio.run(serve_store, self.address, self.port)
         return 0
 
 
-@cappa.command(name="backend", help="Serve a stand-in backend server.")
+@cappa.command(name="backend", help="Serve a stand-in for a backend server.")
 @dataclasses.dataclass(frozen=True)
 class BackendCommand:
-    """Serve the stand-in described by JSON of ``BackendSettings``."""
+    """Serve the stand-in described by ``BackendSettings`` as JSON."""
 
     settings: str
 
     def __call__(self) -> int:
-        """Serve until stopped."""
+        """Serve until the process is stopped."""
         settings = msgspec.json.decode(self.settings, type=BackendSettings)
         trio.run(Backend(settings).run)
         return 0
@@ -47,12 +47,12 @@
 @cappa.command(name="proxy", help="Serve a fault-injecting proxy.")
 @dataclasses.dataclass(frozen=True)
 class ProxyCommand:
-    """Serve the proxy described by a file with JSON of ``ProxyPlan``."""
+    """Serve the proxy described by a file with a ``ProxyPlan`` as JSON."""
 
     plan: str
 
     def __call__(self) -> int:
-        """Serve until stopped."""
+        """Serve until the process is stopped."""
         plan = msgspec.json.decode(pathlib.Path(self.plan).read_bytes(), type=ProxyPlan)
         trio.run(FaultProxy(plan).run)
         return 0
@@ -61,12 +61,12 @@
 @cappa.command(name="load", help="Send requests at a rate and print the latencies.")
 @dataclasses.dataclass(frozen=True)
 class LoadCommand:
-    """Send the requests described by JSON of ``LoadPlan``; print a ``LoadResult``."""
+    """Send the requests of a ``LoadPlan`` given as JSON; print a ``LoadResult``."""
 
     plan: str
 
     def __call__(self) -> int:
-        """Send until the plan's duration is over."""
+        """Send requests for the duration of the plan."""
         plan = msgspec.json.decode(self.plan, type=LoadPlan)
         result = trio.run(LoadGenerator(plan).run)
         print(msgspec.json.encode(result).decode())
--- a/marigoldchute/cmd/timeline.py
+++ b/marigoldchute/cmd/timeline.py
@@ -1,4 +1,4 @@
-"""marigoldchute-timeline: one time line from the event logs of all processes."""
+"""marigoldchute-timeline: merge event logs of several processes in causal order."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 
 def parse_time_ms(text: str) -> int:
-    """Return a time as milliseconds since the epoch.
+    """Parse a time and return it as milliseconds since the epoch.
 
     Parameters
     ----------
     text : str
-        ISO 8601, in UTC unless it names an offset, or milliseconds since the epoch.
+        ISO 8601 (UTC unless it has an offset), or milliseconds since the epoch.
 
     Raises
     ------
     MarigoldchuteError
-        It is neither.
+        The text has neither format.
     """
     if text.isascii() and text.isdigit():
         return int(text)
@@ -42,7 +42,7 @@
         time = datetime.datetime.fromisoformat(text)
     except ValueError as exc:
         raise MarigoldchuteError(
-            f"time {text!r} is neither ISO 8601, as 2026-12-04T10:30:00, "
+            f"time {text!r} is neither ISO 8601, such as 2026-12-04T10:30:00, "
             "nor milliseconds since the epoch"
         ) from exc
     if time.tzinfo is None:
@@ -58,27 +58,31 @@
     name="marigoldchute-timeline",
     help="Merge event logs of nodes into one time line.",
     description="Example: marigoldchute-timeline logs/*.log --move turnos-r2\n\n"
-    "Events stand in causal order by their hybrid logical stamps; the time shown is "
-    "the wall clock of the process that logged. Lines that are no events are counted "
-    "on standard error.",
+    "Events are in causal order of their hybrid logical clock stamps; the time shown "
+    "is the wall clock of the process that logged the event. Lines that are not events "
+    "are skipped, and their number is printed on standard error.",
 )
 @dataclasses.dataclass(frozen=True)
 class TimelineCommand:
-    """Command line of the time line."""
+    """Command line of ``marigoldchute-timeline``."""
 
     logs: Annotated[
         list[str],
-        cappa.Arg(value_name="LOG", help="Log files; - is standard input."),
+        cappa.Arg(value_name="LOG", help="Log files; - for standard input."),
     ]
-    move: Annotated[str, _option("--move", "ID", "Only this move.")] = ""
+    move: Annotated[str, _option("--move", "ID", "Only events of this move.")] = ""
     version: Annotated[
         int | None,
-        cappa.Arg(long="--bundle", value_name="N", help="Only this bundle version."),
+        cappa.Arg(long="--bundle", value_name="N", help="Only events of this version."),
     ] = None
-    vm: Annotated[str, _option("--vm", "NAME", "Logged by or about this VM.")] = ""
+    vm: Annotated[str, _option("--vm", "NAME", "Only events by or about this VM.")] = ""
     part: Annotated[str, _option("--part", "NAME", "Only this part, e.g. moves.")] = ""
-    event: Annotated[str, _option("--event", "NAME", "Only these, e.g. verdict.")] = ""
-    request: Annotated[str, _option("--request", "ID", "Only this request.")] = ""
+    event: Annotated[
+        str, _option("--event", "NAME", "Only this event, e.g. verdict.")
+    ] = ""
+    request: Annotated[
+        str, _option("--request", "ID", "Only events of this request.")
+    ] = ""
     since: Annotated[str, _option("--since", "TIME", "ISO 8601 or epoch ms.")] = ""
     until: Annotated[str, _option("--until", "TIME", "ISO 8601 or epoch ms.")] = ""
     as_json: Annotated[
@@ -88,17 +92,17 @@
     def __call__(self) -> int:
         """Print the time line."""
         try:
-            self._print()
+            self._print_timeline()
         except MarigoldchuteError as exc:
             return report_error(exc, self.as_json)
         return 0
 
-    def _print(self) -> None:
-        wanted = self._filter()
+    def _print_timeline(self) -> None:
+        event_filter = self._build_filter()
         with contextlib.ExitStack() as stack:
             timeline = merge_lines([_open_log(name, stack) for name in self.logs])
         for event in timeline.events:
-            if not wanted.matches(event):
+            if not event_filter.matches(event):
                 continue
             if self.as_json:
                 print(msgspec.json.encode(event_to_dict(event)).decode())
@@ -107,7 +111,7 @@
         if timeline.skipped_lines:
             print(f"{timeline.skipped_lines} lines are no events", file=sys.stderr)
 
-    def _filter(self) -> EventFilter:
+    def _build_filter(self) -> EventFilter:
         return EventFilter(
             move=self.move,
             vm=self.vm,
@@ -120,14 +124,14 @@
         )
 
 
-def _open_log(name: str, stack: contextlib.ExitStack) -> IO[bytes]:
-    if name == STANDARD_INPUT:
+def _open_log(path: str, stack: contextlib.ExitStack) -> IO[bytes]:
+    if path == STANDARD_INPUT:
         return sys.stdin.buffer
     try:
-        return stack.enter_context(open(name, "rb"))
+        return stack.enter_context(open(path, "rb"))
     except OSError as exc:
         raise MarigoldchuteError(
-            f"{name}: {exc.strerror}", ResultCode.SETTINGS_UNREADABLE
+            f"{path}: {exc.strerror}", ResultCode.SETTINGS_UNREADABLE
         ) from exc
 
 
--- a/tests/test_cmd/test_ctl.py
+++ b/tests/test_cmd/test_ctl.py
@@ -1,4 +1,4 @@
-"""The operator's program, without a node."""
+"""Operator and node programs, run without a mesh."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 
 
 class ProgramTestCase(unittest.TestCase):
-    """Runs programs in this process, in an environment without their variables."""
+    """Runs programs in the test process, without their environment variables."""
 
     def setUp(self) -> None:
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
         self.directory = pathlib.Path(directory.name)
-        clean = {k: v for k, v in os.environ.items() if "MARIGOLDCHUTE" not in k}
-        patch = mock.patch.dict(os.environ, clean, clear=True)
+        environment = {k: v for k, v in os.environ.items() if "MARIGOLDCHUTE" not in k}
+        patch = mock.patch.dict(os.environ, environment, clear=True)
         patch.start()
         self.addCleanup(patch.stop)
 
     def run_program(
         self, *args: str, command: type = CtlCommand
     ) -> tuple[int, str, str]:
-        """Return exit status, output and errors."""
+        """Run a command line; return exit status, standard output and error."""
         out, err = io.StringIO(), io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
             status = run_command_line(command, list(args))
@@ -61,7 +61,7 @@
 
 
 class HelpTest(ProgramTestCase):
-    def test_help_and_version_end_with_status_0(self) -> None:
+    def test_help_and_version_exit_with_status_0(self) -> None:
         for args in (["--help"], ["--version"], ["roll", "--help"], ["keys", "-h"]):
             with self.subTest(args=args):
                 status, out, err = self.run_program(*args)
@@ -74,7 +74,7 @@
             self.assertIn(word, out)
         self.assertIn("marigoldchute-ctl roll bundle.json --key", out)
 
-    def test_bad_command_line_is_class_1(self) -> None:
+    def test_invalid_command_line_exits_with_status_1(self) -> None:
         for args in ([], ["rol"], ["roll"], ["status", "--nod", "x"]):
             with self.subTest(args=args):
                 status, _, err = self.run_program(*args)
@@ -83,7 +83,7 @@
 
 
 class KeysTest(ProgramTestCase):
-    def test_key_file_is_readable_by_its_owner_only_and_not_replaced(self) -> None:
+    def test_key_file_is_private_to_its_owner_and_never_overwritten(self) -> None:
         path = self.new_key()
         self.assertEqual(stat.S_IMODE(os.stat(path).st_mode), 0o600)
         before = pathlib.Path(path).read_text()
@@ -92,7 +92,7 @@
         self.assertIn("File exists", err)
         self.assertEqual(pathlib.Path(path).read_text(), before)
 
-    def test_private_key_is_not_printed_when_it_goes_to_a_file(self) -> None:
+    def test_private_key_is_not_printed_if_written_to_a_file(self) -> None:
         path = str(self.directory / "key.json")
         out = self.run_program("keys", "new", "ops-1", "-o", path)[1]
         key = json.loads(pathlib.Path(path).read_text())
@@ -101,7 +101,7 @@
 
 
 class BundleTest(ProgramTestCase):
-    def test_check_build_and_sign(self) -> None:
+    def test_bundle_is_checked_built_and_signed(self) -> None:
         status, out, _ = self.run_program("bundle", "check", BUNDLE)
         self.assertEqual(status, 0)
         self.assertIn("valid, 5 services, 5 routes, 1 moves", out)
@@ -114,7 +114,7 @@
         self.assertEqual(self.run_program(*args), (0, "", ""))
         self.assertIn("manifest", json.loads(pathlib.Path(signed).read_text()))
 
-    def test_bad_files_end_with_the_class_of_the_code(self) -> None:
+    def test_invalid_file_exits_with_class_of_result_code(self) -> None:
         bad_route = '{"services": [], "routes": [{"name": "a", "path_prefix": "/a", '
         cases = [
             ("{", 1, "102 SETTINGS_UNREADABLE"),
@@ -132,12 +132,12 @@
 
 
 class ConnectionTest(ProgramTestCase):
-    def test_missing_or_bad_connection_is_told(self) -> None:
+    def test_missing_or_invalid_connection_argument_is_reported(self) -> None:
         empty = self.write("empty", "\n")
         node = ["--node", "127.0.0.1"]
         cases = [
             ([], 1, "give --node ADDRESS[:PORT] or set $MARIGOLDCHUTE_NODE"),
-            (["--node", "localhost"], 1, "'localhost' is not an IP number"),
+            (["--node", "localhost"], 1, "'localhost' is not an IP address"),
             (["--node", "127.0.0.1:0"], 1, "port '0' is not a number from 1 to"),
             (node, 7, "no admin token: give --token-file"),
             ([*node, "-t", "/nowhere"], 1, "token file '/nowhere' cannot be read"),
@@ -149,7 +149,7 @@
                 self.assertEqual(status, expected)
                 self.assertIn(text, err)
 
-    def test_environment_is_used_alike_by_every_command(self) -> None:
+    def test_every_command_reads_connection_from_environment(self) -> None:
         os.environ["MARIGOLDCHUTE_NODE"] = "127.0.0.1:1"
         os.environ["MARIGOLDCHUTE_TOKEN"] = "t"
         key = self.new_key()
@@ -161,11 +161,11 @@
                 self.assertIn("401 PEER_UNREACHABLE", err)
                 self.assertIn("127.0.0.1:1 did not answer", err)
 
-    def test_errors_are_json_on_request(self) -> None:
+    def test_errors_are_printed_as_json_with_json_option(self) -> None:
         err = self.run_program("status", "--node", "x", "--json")[2]
         self.assertEqual(msgspec.json.decode(err, type=Failure).code, 103)
 
-    def test_port_is_added_to_an_address(self) -> None:
+    def test_default_port_is_added_to_address(self) -> None:
         self.assertEqual(parse_node_address("10.0.0.1"), "10.0.0.1:7100")
         self.assertEqual(parse_node_address("10.0.0.1:5"), "10.0.0.1:5")
         for text in ("", "10.0.0", "::1", "10.0.0.1:", "10.0.0.1:99999", "a:1:2"):
@@ -191,36 +191,36 @@
         self.assertIn("halted: slow", text)
         self.assertIn("time left  7.2 s", text)
 
-    def test_decided_move_shows_no_time_left_and_a_late_one_says_so(self) -> None:
+    def test_time_left_is_hidden_if_decided_and_overdue_if_late(self) -> None:
         done = MoveStatus("m", "s", "done", "", 4, 0, 1.0, 1.0, NOW_MS + 7200)
         self.assertNotIn("time left", self.status(done, [2]))
         late = MoveStatus("m", "s", "under way", "", 0, 4, 0.0, 0.0, NOW_MS - 1500)
         self.assertIn("the deadline was 1.5 s ago", self.status(late, [2]))
 
-    def test_bar_is_full_only_when_all_are_counted(self) -> None:
+    def test_bar_is_full_only_if_all_members_are_counted(self) -> None:
         self.assertNotIn(".", render_bar(5, 5))
         self.assertIn(".", render_bar(999, 1000))
         self.assertNotIn("#", render_bar(0, 0))
 
-    def test_members_show_their_backend_servers(self) -> None:
+    def test_members_table_shows_backend_servers(self) -> None:
         members = [MemberStatus("vm-1", "a", "b", "draining", 3, ("turnos@r1",))]
         text = render_members(members)
         self.assertRegex(text, r"vm-1 +a +b +draining +3 +turnos@r1")
 
 
-class NodeProgramTest(ProgramTestCase):
-    def test_check_settings(self) -> None:
+class NodeCommandTest(ProgramTestCase):
+    def test_check_settings_accepts_valid_file(self) -> None:
         path = str(EXAMPLES / "hanbit" / "settings.json")
-        done = self.run_program(path, "--check-settings", command=NodeCommand)
-        self.assertEqual(done, (0, f"{path}: settings are valid\n", ""))
+        result = self.run_program(path, "--check-settings", command=NodeCommand)
+        self.assertEqual(result, (0, f"{path}: settings are valid\n", ""))
 
-    def test_bad_settings_are_class_1(self) -> None:
+    def test_invalid_settings_exit_with_status_1(self) -> None:
         path = self.write("vm.json", '{"name": "a"}')
         status, _, err = self.run_program(path, command=NodeCommand)
         self.assertEqual(status, 1)
         self.assertIn(f"[101 SETTINGS_INVALID] {path}: $: missing required", err)
 
-    def test_port_in_use_or_foreign_address_is_told_at_once(self) -> None:
+    def test_port_in_use_or_foreign_address_fails_at_start(self) -> None:
         text = (EXAMPLES / "hanbit" / "settings.json").read_text()
         path = self.write("vm.json", text)
         status, _, err = self.run_program(path, command=NodeCommand)
--- a/tests/test_cmd/test_result_codes.py
+++ b/tests/test_cmd/test_result_codes.py
@@ -1,4 +1,4 @@
-"""The page of result codes, checked against the code."""
+"""Consistency of docs/RESULT-CODES.md with the result codes in errors.py."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from marigoldchute.errors import ResultCode
 
 PAGE = pathlib.Path(__file__).parents[2] / "docs" / "RESULT-CODES.md"
-MIN_SENTENCE_LENGTH = 8
+MIN_CELL_LENGTH = 8
 
 
-def read_rows() -> dict[int, tuple[str, str, str]]:
-    """Return name, meaning and advice by code; each code stands once."""
+def read_code_rows() -> dict[int, tuple[str, str, str]]:
+    """Return name, meaning and advice by code; raise if a code occurs twice."""
     rows: dict[int, tuple[str, str, str]] = {}
     for line in PAGE.read_text(encoding="utf-8").splitlines():
         cells = [cell.strip() for cell in line.strip("|").split("|")]
@@ -26,8 +26,8 @@
 
 
 class ResultCodePageTest(unittest.TestCase):
-    def test_each_code_has_a_row_and_each_row_a_code(self) -> None:
-        rows = read_rows()
+    def test_rows_and_result_codes_match(self) -> None:
+        rows = read_code_rows()
         for code in ResultCode:
             with self.subTest(code=code.name):
                 if code.value not in rows:
@@ -42,17 +42,17 @@
             f"docs/{PAGE.name} has codes that errors.py lacks",
         )
 
-    def test_each_row_says_what_it_means_and_what_to_do(self) -> None:
-        for code, (name, meaning, advice) in read_rows().items():
+    def test_each_row_has_a_meaning_and_an_advice(self) -> None:
+        for code, (name, meaning, advice) in read_code_rows().items():
             with self.subTest(code=code, name=name):
-                self.assertGreaterEqual(len(meaning), MIN_SENTENCE_LENGTH)
-                self.assertGreaterEqual(len(advice), MIN_SENTENCE_LENGTH)
+                self.assertGreaterEqual(len(meaning), MIN_CELL_LENGTH)
+                self.assertGreaterEqual(len(advice), MIN_CELL_LENGTH)
 
-    def test_rows_stand_in_order(self) -> None:
-        codes = list(read_rows())
+    def test_rows_are_in_ascending_order(self) -> None:
+        codes = list(read_code_rows())
         self.assertEqual(codes, sorted(codes))
 
-    def test_class_of_each_code_is_its_exit_status(self) -> None:
+    def test_exit_status_is_class_of_code(self) -> None:
         for code in ResultCode:
             with self.subTest(code=code.name):
                 self.assertEqual(code.exit_status, code.value // 100)
