--- a/marigoldchute/standins/__init__.py
+++ b/marigoldchute/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems outside the project, for the demo and the tests."""
+"""Stand-ins for external systems, for the demo, the tests and the benchmarks."""
--- a/marigoldchute/standins/backend_faults.py
+++ b/marigoldchute/standins/backend_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the backend server stand-in, switchable while it runs."""
+"""Faults of the backend server stand-in, which can be changed while it runs."""
 
 from __future__ import annotations
 
@@ -10,34 +10,35 @@
 
 @dataclasses.dataclass(frozen=True)
 class BackendFaults:
-    """What a stand-in does wrong, and when.
+    """Faults that a stand-in injects, and the conditions for them.
 
-    The shares are drawn one after another for each request, in the order in which
-    they stand here. A request that meets none of them is answered well.
+    For each request the shares are drawn one after another, in the order of the
+    parameters. A request for which no fault is drawn succeeds.
 
     Parameters
     ----------
     refuse_share : float
-        Share of requests refused before they run: status 503 with the header
+        Share of requests refused before execution: status 503 with the header
         ``marigoldchute-not-run: 1``.
     drop_share : float
-        Share of requests that run and whose connection then closes without an answer.
+        Share of requests that are executed, but whose connection closes without a
+        response.
     hang_share : float
-        Share of requests that run and are never answered.
+        Share of requests that are executed, but never get a response.
     cut_share : float
-        Share of answers cut in the middle.
+        Share of responses that end before their declared length.
     error_share : float
-        Share of requests answered with status 500.
+        Share of requests that get status 500.
     delay_ms : float
-        Time added to each answer.
+        Delay added to each response.
     path_prefix : str
-        Only requests whose path starts with it are affected.
+        Prefix of the request targets to which the faults apply.
     more_than_running : int
-        The faults act only while more requests than this run at once.
+        The faults apply only while more requests than this are being executed.
     after_s : float
-        The faults act only from this time after they were set.
+        The faults apply only after this time since they were set.
     draining : bool
-        Whether the stand-in announces that it drains.
+        Whether the stand-in announces that it is draining.
     """
 
     refuse_share: float = 0.0
@@ -51,15 +52,15 @@
     after_s: float = 0.0
     draining: bool = False
 
-    def act_on(self, path: str, running: int, elapsed_s: float) -> bool:
-        """Return whether the faults act on a request.
+    def apply_to(self, path: str, running: int, elapsed_s: float) -> bool:
+        """Return whether the faults apply to a request.
 
         Parameters
         ----------
         path : str
             Request target.
         running : int
-            Requests that run now, this one included.
+            Number of requests being executed, including this one.
         elapsed_s : float
             Time since the faults were set.
         """
@@ -72,20 +73,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class BackendState:
-    """What a stand-in has counted since its start.
+    """Counts of a stand-in since its start.
 
     Parameters
     ----------
     runs : dict of str to int
-        Executions by the header ``idempotency-key``.
+        Executions by value of the header ``idempotency-key``.
     total_runs : int
-        All executions.
+        Number of all executions.
     cancelled : int
-        Executions whose caller went away before the answer.
+        Executions whose caller disconnected before the response.
     running, max_running : int
-        Requests that run now, and the most that ran at once.
+        Current and highest number of requests in execution.
     connections, max_connections : int
-        Open connections now, and the most that were open at once.
+        Current and highest number of open connections.
     """
 
     runs: dict[str, int]
--- a/marigoldchute/standins/faultproxy.py
+++ b/marigoldchute/standins/faultproxy.py
@@ -1,8 +1,8 @@
 """Fault-injecting TCP proxy between the processes of a mesh.
 
-Each process is reached under an address of the proxy's, which forwards to the real one
-and knows the sender by its source address. Rules hold back, silence, reset or delay the
-bytes between two ends; bytes are counted for each pair of ends.
+Each process is reached at an address of the proxy, which forwards to the real address
+and identifies the sender by its source address. Rules block, silence, reset or delay
+the traffic between two endpoints. Bytes are counted for each ordered pair of endpoints.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 RECEIVE_BYTES = 65_536
 MAX_RULES_BYTES = 1_000_000
-ANYONE = "*"
+ANY_ENDPOINT = "*"
 
 
 class Action(enum.StrEnum):
-    """What a rule does to the bytes that it matches.
+    """Effect of a rule on the traffic that it matches.
 
-    ``DROP`` holds bytes back until the rule is lifted, as a cut network does to TCP.
-    ``SILENCE`` does so for good to the connections that are open when the rule comes,
-    while new ones work. ``RESET`` closes the open connections once. ``DELAY`` adds
-    ``delay_ms`` one way.
+    ``DROP`` withholds bytes until the rule is removed, as TCP behaves on a partitioned
+    network. ``SILENCE`` withholds them permanently on the connections that are open
+    when the rule is set; new connections work. ``RESET`` closes the open connections
+    once. ``DELAY`` adds a one-way delay of ``delay_ms``.
     """
 
     DROP = "drop"
@@ -41,17 +41,17 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class End:
-    """One end that the proxy knows.
+class Endpoint:
+    """Process that the proxy forwards to or from.
 
     Parameters
     ----------
     name : str
         Name of the VM, or ``store``.
     data_centre, region : str
-        Its place.
+        Location of the VM.
     address : str
-        Real IP number; also the source of its connections.
+        Real IP address; also the source address of its connections.
     """
 
     name: str
@@ -60,22 +60,22 @@
     address: str
 
     def matches(self, label: str) -> bool:
-        """Whether a label names this end, its data centre or its region."""
-        return label in (ANYONE, self.name, self.data_centre, self.region)
+        """Return whether a label is this name, data centre or region, or ``*``."""
+        return label in (ANY_ENDPOINT, self.name, self.data_centre, self.region)
 
 
 @dataclasses.dataclass(frozen=True)
 class Rule:
-    """A fault between two ends, in force until the rules are replaced.
+    """Fault between two endpoints, applied until the rules are replaced.
 
     Parameters
     ----------
     source, target : str
-        Name, data centre, region or ``*``; bytes from source to target match.
+        Name, data centre, region or ``*``; traffic from source to target matches.
     action : Action
-        What happens to them.
+        Effect on the matching traffic.
     both_ways : bool
-        Whether bytes from target to source match too.
+        Whether traffic from target to source matches too.
     delay_ms : float
         One-way delay of ``DELAY``.
     """
@@ -86,8 +86,8 @@
     both_ways: bool = True
     delay_ms: float = 0.0
 
-    def matches(self, source: End, target: End) -> bool:
-        """Whether the rule holds for bytes from one end to another."""
+    def matches(self, source: Endpoint, target: Endpoint) -> bool:
+        """Return whether the rule applies to traffic from one endpoint to another."""
         if source.matches(self.source) and target.matches(self.target):
             return True
         return (
@@ -99,38 +99,38 @@
 
 @dataclasses.dataclass(frozen=True)
 class Forward:
-    """A listening address of the proxy and the end behind it."""
+    """Listening address of the proxy and the endpoint to which it forwards."""
 
     listen_address: str
     port: int
-    end: End
+    end: Endpoint
 
 
 @dataclasses.dataclass(frozen=True)
 class ProxyPlan:
-    """What the proxy forwards.
+    """Addresses and endpoints of a proxy.
 
     Parameters
     ----------
     forwards : tuple of Forward
         Listening addresses.
     sources : tuple of End
-        Known senders.
+        Endpoints that are recognised as senders by their address.
     control_address : str
-        IP number of the control interface.
+        IP address of the control interface.
     control_port : int
-        Its TCP port.
+        TCP port of the control interface.
     """
 
     forwards: tuple[Forward, ...]
-    sources: tuple[End, ...]
+    sources: tuple[Endpoint, ...]
     control_address: str
     control_port: int
 
 
 @dataclasses.dataclass(frozen=True)
 class ByteCount:
-    """Bytes forwarded from one end to another since the proxy started."""
+    """Bytes forwarded from one endpoint to another since the proxy started."""
 
     source: str
     target: str
@@ -139,10 +139,10 @@
     bytes: int
 
 
-class _Pair:
-    """One forwarded connection."""
+class _ForwardedConnection:
+    """State of a forwarded connection."""
 
-    def __init__(self, source: End, target: End) -> None:
+    def __init__(self, source: Endpoint, target: Endpoint) -> None:
         self.source = source
         self.target = target
         self.silenced = False
@@ -150,116 +150,134 @@
 
 
 class FaultProxy:
-    """Forwards connections under the rules in force."""
+    """Forwards connections and applies the current rules to them."""
 
     def __init__(self, plan: ProxyPlan) -> None:
         self._plan = plan
         self._rules: tuple[Rule, ...] = ()
-        self._changed = trio.Event()
-        self._pairs: set[_Pair] = set()
-        self._bytes: dict[tuple[str, str], int] = {}
-        self._ends = {end.address: end for end in plan.sources}
+        self._rules_changed = trio.Event()
+        self._connections: set[_ForwardedConnection] = set()
+        self._byte_totals: dict[tuple[str, str], int] = {}
+        self._endpoints_by_address = {end.address: end for end in plan.sources}
 
     def set_rules(self, rules: tuple[Rule, ...]) -> None:
-        """Replace the rules; ``SILENCE`` and ``RESET`` act on open connections."""
+        """Replace the rules; ``SILENCE`` and ``RESET`` apply to open connections."""
         self._rules = rules
         for rule in rules:
-            for pair in tuple(self._pairs):
-                if not rule.matches(pair.source, pair.target):
+            for connection in tuple(self._connections):
+                if not rule.matches(connection.source, connection.target):
                     continue
                 if rule.action is Action.SILENCE:
-                    pair.silenced = True
+                    connection.silenced = True
                 elif rule.action is Action.RESET:
-                    pair.scope.cancel()
-        changed, self._changed = self._changed, trio.Event()
-        changed.set()
+                    connection.scope.cancel()
+        rules_changed, self._rules_changed = self._rules_changed, trio.Event()
+        rules_changed.set()
 
     def byte_counts(self) -> list[ByteCount]:
-        """Return the bytes forwarded for each ordered pair of ends."""
-        region = {end.name: end.region for end in self._plan.sources}
-        region |= {f.end.name: f.end.region for f in self._plan.forwards}
+        """Return the bytes forwarded for each ordered pair of endpoints."""
+        regions = {end.name: end.region for end in self._plan.sources}
+        regions |= {f.end.name: f.end.region for f in self._plan.forwards}
         return [
-            ByteCount(a, b, region.get(a, ""), region.get(b, ""), count)
-            for (a, b), count in sorted(self._bytes.items())
+            ByteCount(
+                source, target, regions.get(source, ""), regions.get(target, ""), count
+            )
+            for (source, target), count in sorted(self._byte_totals.items())
         ]
 
     async def run(self) -> None:
-        """Forward until cancelled."""
+        """Forward connections until cancelled."""
         plan = self._plan
         async with trio.open_nursery() as nursery:
             for forward in plan.forwards:
-                nursery.start_soon(self._listen, forward)
+                nursery.start_soon(self._accept_connections, forward)
             nursery.start_soon(
-                serve_app, self._control, plan.control_address, plan.control_port
+                serve_app, self._serve_control, plan.control_address, plan.control_port
             )
 
-    async def _listen(self, forward: Forward) -> None:
-        async def accept(stream: trio.SocketStream) -> None:
+    async def _accept_connections(self, forward: Forward) -> None:
+        async def handle_connection(stream: trio.SocketStream) -> None:
             await self._forward(forward, stream)
 
-        await trio.serve_tcp(accept, forward.port, host=forward.listen_address)
+        await trio.serve_tcp(
+            handle_connection, forward.port, host=forward.listen_address
+        )
 
     async def _forward(self, forward: Forward, client: trio.SocketStream) -> None:
         address = client.socket.getpeername()[0]
-        source = self._ends.get(address, End(address, "", "", address))
-        pair = _Pair(source, forward.end)
-        self._pairs.add(pair)
+        source = self._endpoints_by_address.get(
+            address, Endpoint(address, "", "", address)
+        )
+        connection = _ForwardedConnection(source, forward.end)
+        self._connections.add(connection)
         server: trio.SocketStream | None = None
         try:
-            with pair.scope:
-                await self._wait_open(pair, source, forward.end)
+            with connection.scope:
+                await self._wait_until_unblocked(connection, source, forward.end)
                 with contextlib.suppress(OSError):
                     server = await trio.open_tcp_stream(
                         forward.end.address, forward.port
                     )
                 if server is not None:
-                    await self._copy_both(pair, client, server)
+                    await self._copy_both_ways(connection, client, server)
         finally:
-            self._pairs.discard(pair)
+            self._connections.discard(connection)
             await trio.aclose_forcefully(client)
             if server is not None:
                 await trio.aclose_forcefully(server)
 
-    async def _copy_both(
-        self, pair: _Pair, client: trio.SocketStream, server: trio.SocketStream
+    async def _copy_both_ways(
+        self,
+        connection: _ForwardedConnection,
+        client: trio.SocketStream,
+        server: trio.SocketStream,
     ) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
-                self._copy, pair, client, server, pair.source, pair.target
+                self._copy,
+                connection,
+                client,
+                server,
+                connection.source,
+                connection.target,
+            )
+            await self._copy(
+                connection, server, client, connection.target, connection.source
             )
-            await self._copy(pair, server, client, pair.target, pair.source)
             nursery.cancel_scope.cancel()
 
     async def _copy(
         self,
-        pair: _Pair,
+        connection: _ForwardedConnection,
         reader: trio.SocketStream,
         writer: trio.SocketStream,
-        source: End,
-        target: End,
+        source: Endpoint,
+        target: Endpoint,
     ) -> None:
         key = (source.name, target.name)
         with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             while data := await reader.receive_some(RECEIVE_BYTES):
-                await self._wait_open(pair, source, target)
-                delay_s = self._delay_s(source, target)
+                await self._wait_until_unblocked(connection, source, target)
+                delay_s = self._one_way_delay_s(source, target)
                 if delay_s:
                     await trio.sleep(delay_s)
                 await writer.send_all(data)
-                self._bytes[key] = self._bytes.get(key, 0) + len(data)
-        pair.scope.cancel()
+                self._byte_totals[key] = self._byte_totals.get(key, 0) + len(data)
+        connection.scope.cancel()
 
-    async def _wait_open(self, pair: _Pair, source: End, target: End) -> None:
-        while pair.silenced or self._is_dropped(source, target):
-            await self._changed.wait()
+    async def _wait_until_unblocked(
+        self, connection: _ForwardedConnection, source: Endpoint, target: Endpoint
+    ) -> None:
+        while connection.silenced or self._is_blocked(source, target):
+            await self._rules_changed.wait()
 
-    def _is_dropped(self, source: End, target: End) -> bool:
+    def _is_blocked(self, source: Endpoint, target: Endpoint) -> bool:
         return any(
             rule.action is Action.DROP and rule.matches(source, target)
             for rule in self._rules
         )
 
-    def _delay_s(self, source: End, target: End) -> float:
+    def _one_way_delay_s(self, source: Endpoint, target: Endpoint) -> float:
         delays = [
             rule.delay_ms
             for rule in self._rules
@@ -267,7 +285,7 @@
         ]
         return max(delays, default=0.0) / 1000
 
-    async def _control(self, scope: Scope, receive: Receive, send: Send) -> None:
+    async def _serve_control(self, scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
         elif scope["path"] == "/rules":
--- a/marigoldchute/standins/load.py
+++ b/marigoldchute/standins/load.py
@@ -1,7 +1,7 @@
-"""Stand-in for many callers: an open-loop load tool.
+"""Open-loop load generator, a stand-in for many callers.
 
-Requests start at seeded Poisson times whether or not earlier ones were answered, so a
-slow answer does not hide the ones that would have come behind it.
+Requests start at Poisson arrival times whether or not earlier ones are complete, so a
+slow response does not delay later requests and thereby hide their latency.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 LOWEST_US = 1
 HIGHEST_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
-NO_ANSWER = "no answer"
+NO_RESPONSE = "no answer"
 
 
 @dataclasses.dataclass(frozen=True)
 class LoadPlan:
-    """What to send.
+    """Target, rate and duration of a load run.
 
     Parameters
     ----------
     address : str
-        IP number to call.
+        IP address to call.
     port : int
         TCP port to call.
     path : str
@@ -39,17 +39,17 @@
     rate_per_s : float
         Mean rate of requests.
     duration_s : float
-        How long to send.
+        Time during which requests are started.
     method : str
         HTTP method.
     body_bytes : int
-        Length of the request's body.
+        Length of the request body.
     source : str
-        IP number of the callers.
+        Source IP address of the connections.
     seed : int
-        Seed of the arrival times.
+        Seed of the random arrival times.
     timeout_s : float
-        Time after which an answer is given up.
+        Timeout of a request.
     """
 
     address: str
@@ -66,18 +66,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class LoadResult:
-    """What came back.
+    """Results and latencies of a load run.
 
     Parameters
     ----------
     calls : int
-        Requests sent.
+        Number of requests sent.
     results : dict of str to int
-        Answers by status and the outcome that a refusal states.
+        Number of responses by status and, on a refusal, its outcome header.
     p50_us, p99_us, p999_us, max_us : int
-        Latency of the answers with a status below 500, in microseconds.
+        Latency of the responses with a status below 500, in microseconds.
     latencies : str
-        The whole histogram, encoded by hdrhistogram.
+        Complete histogram, encoded by hdrhistogram.
     """
 
     calls: int
@@ -89,8 +89,8 @@
     latencies: str
 
 
-class _Answer:
-    """Parser callbacks of one answer."""
+class _ResponseState:
+    """Parser callbacks and state of one response."""
 
     def __init__(self) -> None:
         self.complete = False
@@ -108,77 +108,77 @@
 
 
 class LoadGenerator:
-    """Sends the requests of one plan."""
+    """Sends the requests of a plan and records their latencies."""
 
     def __init__(self, plan: LoadPlan) -> None:
         self._plan = plan
         self._rng = random.Random(plan.seed)
-        self._idle: list[TcpConn] = []
+        self._idle_connections: list[TcpConn] = []
         self._results: collections.Counter[str] = collections.Counter()
         self._histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
-        self._request = (
+        self._encoded_request = (
             f"{plan.method} {plan.path} HTTP/1.1\r\nhost: {plan.address}\r\n"
             f"content-length: {plan.body_bytes}\r\n\r\n"
         ).encode() + b"x" * plan.body_bytes
 
     async def run(self) -> LoadResult:
-        """Send the requests and return what came back."""
+        """Send the requests and return their results and latencies."""
         plan = self._plan
         start = trio.current_time()
-        calls = 0
-        at = start
+        request_count = 0
+        send_at = start
         async with trio.open_nursery() as nursery:
             while True:
-                at += self._rng.expovariate(plan.rate_per_s)
-                if at >= start + plan.duration_s:
+                send_at += self._rng.expovariate(plan.rate_per_s)
+                if send_at >= start + plan.duration_s:
                     break
-                await trio.sleep_until(at)
-                nursery.start_soon(self._call)
-                calls += 1
-        for conn in self._idle:
+                await trio.sleep_until(send_at)
+                nursery.start_soon(self._record_request)
+                request_count += 1
+        for conn in self._idle_connections:
             conn.close()
-        return self._result(calls)
+        return self._build_result(request_count)
 
-    async def _call(self) -> None:
-        started = time.perf_counter()
-        result = NO_ANSWER
+    async def _record_request(self) -> None:
+        started_at = time.perf_counter()
+        result = NO_RESPONSE
         with trio.move_on_after(self._plan.timeout_s):
             try:
-                result = await self._exchange()
+                result = await self._send_request()
             except (OSError, httptools.HttpParserError):
-                result = NO_ANSWER
+                result = NO_RESPONSE
         self._results[result] += 1
         if result[0] in "234":
-            latency_us = int((time.perf_counter() - started) * 1_000_000)
+            latency_us = int((time.perf_counter() - started_at) * 1_000_000)
             self._histogram.record_value(max(latency_us, LOWEST_US))
 
-    async def _exchange(self) -> str:
+    async def _send_request(self) -> str:
         plan = self._plan
-        if self._idle:
-            conn = self._idle.pop()
+        if self._idle_connections:
+            conn = self._idle_connections.pop()
         else:
             conn = await open_tcp(plan.address, plan.port, plan.source)
-        answer = _Answer()
-        parser = answer.parser
+        response = _ResponseState()
+        parser = response.parser
         try:
-            await conn.send(self._request)
-            while not answer.complete:
+            await conn.send(self._encoded_request)
+            while not response.complete:
                 data = await conn.receive(RECEIVE_BYTES)
                 if not data:
-                    return NO_ANSWER
+                    return NO_RESPONSE
                 parser.feed_data(data)
         finally:
-            if answer.keep_alive:
-                self._idle.append(conn)
+            if response.keep_alive:
+                self._idle_connections.append(conn)
             else:
                 conn.close()
-        outcome = f" {answer.outcome.decode()}" if answer.outcome else ""
+        outcome = f" {response.outcome.decode()}" if response.outcome else ""
         return f"{parser.get_status_code()}{outcome}"
 
-    def _result(self, calls: int) -> LoadResult:
+    def _build_result(self, request_count: int) -> LoadResult:
         histogram = self._histogram
         return LoadResult(
-            calls,
+            request_count,
             dict(self._results),
             histogram.get_value_at_percentile(50),
             histogram.get_value_at_percentile(99),
--- a/marigoldchute/standins/loopback.py
+++ b/marigoldchute/standins/loopback.py
@@ -1,4 +1,4 @@
-"""Addresses, ports and plans of meshes on this machine's loopback network."""
+"""Addresses, ports and plans of meshes on the loopback network of this machine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 STORE_PORT = 9000
 PROXY_PORT = 9001
-BLOCK_LOCK_PORT = 9999
+BLOCK_RESERVATION_PORT = 9999
 FIRST_BLOCK = 10
 PROXY_BLOCK_OFFSET = 120
 PEER_PORT = 7000
@@ -23,33 +23,33 @@
 
 
 class LoopbackBlock:
-    """Reserves the addresses ``127.<number>.*.*`` for one mesh on this machine.
+    """Reservation of the addresses ``127.<number>.*.*`` for one mesh on this machine.
 
-    Meshes that run at the same time get different numbers; the one for the proxy is
-    ``number + PROXY_BLOCK_OFFSET``. The reservation ends with ``release``.
+    Meshes that run at the same time get different numbers. The proxy of the mesh uses
+    block ``number + PROXY_BLOCK_OFFSET``. ``release`` ends the reservation.
     """
 
     def __init__(self) -> None:
         for number in range(FIRST_BLOCK, FIRST_BLOCK + PROXY_BLOCK_OFFSET):
             sock = socket.socket()
             try:
-                sock.bind((f"127.{number}.254.254", BLOCK_LOCK_PORT))
+                sock.bind((f"127.{number}.254.254", BLOCK_RESERVATION_PORT))
             except OSError:
                 sock.close()
                 continue
             self.number = number
             self._sock = sock
             return
-        raise OSError("every loopback block is in use")
+        raise OSError("all loopback address blocks are in use")
 
     def release(self) -> None:
-        """Let other meshes have the addresses."""
+        """Release the addresses for other meshes."""
         self._sock.close()
 
 
 @dataclasses.dataclass(frozen=True)
 class Vm:
-    """One VM of the mesh."""
+    """Name, address and location of a VM."""
 
     name: str
     address: str
@@ -59,17 +59,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class MeshPlan:
-    """What a mesh consists of.
+    """VMs and addresses of a mesh.
 
     Parameters
     ----------
     vms : tuple of Vm
         VMs, each with a node.
     store_address : str
-        IP number of the store stand-in.
+        IP address of the store stand-in.
     proxy_block : str
-        First two bytes of the addresses under which the fault-injecting proxy offers
-        the nodes and the store, for example ``127.110``; empty for no proxy.
+        First two bytes of the addresses at which the fault-injecting proxy listens for
+        the nodes and the store, for example ``127.110``; empty without a proxy.
     """
 
     vms: tuple[Vm, ...]
@@ -77,32 +77,34 @@
     proxy_block: str = ""
 
     def reached_address(self, address: str) -> str:
-        """Return the address under which others reach a VM or the store."""
+        """Return the address at which other processes reach a VM or the store."""
         if not self.proxy_block:
             return address
         return ".".join([self.proxy_block, *address.split(".")[2:]])
 
 
 def plan_mesh(
-    block: int, centres: int, per_centre: int, proxied: bool = False
+    block: int, data_centre_count: int, vms_per_data_centre: int, proxied: bool = False
 ) -> MeshPlan:
-    """Return a plan on loopback addresses ``127.<block>.*.*``.
+    """Return the plan of a mesh on loopback addresses ``127.<block>.*.*``.
 
     Parameters
     ----------
     block : int
         Second byte of the addresses.
-    centres : int
-        Data centres, taken alternately from the two regions.
-    per_centre : int
-        VMs of each data centre.
+    data_centre_count : int
+        Number of data centres, taken alternately from the two regions.
+    vms_per_data_centre : int
+        Number of VMs in each data centre.
     proxied : bool
-        Whether nodes and store are reached through the fault-injecting proxy.
+        Whether processes reach nodes and store through the fault-injecting proxy.
     """
     vms = tuple(
         Vm(f"{name}-{i}", f"127.{block}.{number}.{i}", name, region)
-        for number, (name, region) in enumerate(DATA_CENTRES[:centres], start=1)
-        for i in range(1, per_centre + 1)
+        for number, (name, region) in enumerate(
+            DATA_CENTRES[:data_centre_count], start=1
+        )
+        for i in range(1, vms_per_data_centre + 1)
     )
     proxy_block = f"127.{block + PROXY_BLOCK_OFFSET}" if proxied else ""
     return MeshPlan(vms, f"127.{block}.200.1", proxy_block)
--- a/marigoldchute/standins/mesh.py
+++ b/marigoldchute/standins/mesh.py
@@ -1,7 +1,7 @@
-"""A mesh of real processes on loopback addresses, for the demo, tests and benches.
+"""Mesh of real processes on loopback addresses, for the demo, tests and benchmarks.
 
-The programs that run on a VM start no processes; this module does, and none of them
-imports it.
+The programs that run on a VM must not start processes. This module does, so none of
+them imports it.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 )
 from marigoldchute.standins.faultproxy import (
     ByteCount,
-    End,
+    Endpoint,
     Forward,
     ProxyPlan,
 )
@@ -55,25 +55,25 @@
 ADMIN_TOKEN = "operator-token-of-the-mesh"
 PEER_SECRET = "peer-secret-of-the-mesh"
 STOP_TIMEOUT_S = 5.0
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
 class Mesh:
-    """Starts, stops and asks the processes of a mesh.
+    """Starts, stops and calls the processes of a mesh.
 
     Parameters
     ----------
     plan : MeshPlan
         VMs and addresses.
     directory : pathlib.Path
-        Where settings and logs go.
+        Directory for settings and logs.
     seed : int
         Seed of the nodes' random choices.
 
     Attributes
     ----------
     node_settings : dict of str to object
-        Settings of every node that differ from the usual ones.
+        Settings that override the defaults on every node.
     """
 
     def __init__(self, plan: MeshPlan, directory: pathlib.Path, seed: int) -> None:
@@ -83,11 +83,11 @@
         self.node_settings: dict[str, object] = {}
         self._seed = seed
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
-        self._starting: dict[str, Callable[[], Awaitable[object]]] = {}
+        self._startup_checks: dict[str, Callable[[], Awaitable[object]]] = {}
 
     @property
     def key_path(self) -> pathlib.Path:
-        """File with the operator's signing key."""
+        """Path of the operator's signing key."""
         return self.directory / "key.json"
 
     def vm(self, name: str) -> Vm:
@@ -101,46 +101,51 @@
     def start_store(self) -> None:
         """Start the store stand-in."""
         args = ["store", self.plan.store_address, str(STORE_PORT)]
-        self._start("store", "marigoldchute.cmd.standin", args)
+        self._start_process("store", "marigoldchute.cmd.standin", args)
 
     def start_proxy(self) -> None:
         """Start the fault-injecting proxy in front of the nodes and the store."""
-        ends = [End(v.name, v.data_centre, v.region, v.address) for v in self.plan.vms]
+        endpoints = [
+            Endpoint(v.name, v.data_centre, v.region, v.address) for v in self.plan.vms
+        ]
         first = self.plan.vms[0]
-        store = End("store", "store", first.region, self.plan.store_address)
-        reached = self.plan.reached_address
-        forwards = [Forward(reached(e.address), PEER_PORT, e) for e in ends]
-        forwards.append(Forward(reached(store.address), STORE_PORT, store))
+        store = Endpoint("store", "store", first.region, self.plan.store_address)
+        reachable = self.plan.reached_address
+        forwards = [
+            Forward(reachable(endpoint.address), PEER_PORT, endpoint)
+            for endpoint in endpoints
+        ]
+        forwards.append(Forward(reachable(store.address), STORE_PORT, store))
         plan = ProxyPlan(
-            tuple(forwards), tuple(ends), self.plan.store_address, PROXY_PORT
+            tuple(forwards), tuple(endpoints), self.plan.store_address, PROXY_PORT
         )
         path = self.directory / "proxy.json"
         path.write_bytes(msgspec.json.encode(plan))
-        self._start("proxy", "marigoldchute.cmd.standin", ["proxy", str(path)])
+        self._start_process("proxy", "marigoldchute.cmd.standin", ["proxy", str(path)])
 
     async def set_faults(self, *rules: Rule) -> None:
         """Replace the rules of the fault-injecting proxy."""
-        await self._control(PROXY_PORT, "/rules", msgspec.json.encode(rules))
+        await self._call_control(PROXY_PORT, "/rules", msgspec.json.encode(rules))
 
     async def byte_counts(self) -> list[ByteCount]:
-        """Return the bytes that the fault-injecting proxy has forwarded."""
-        body = await self._control(PROXY_PORT, "/bytes", b"")
+        """Return the byte counts of the fault-injecting proxy."""
+        body = await self._call_control(PROXY_PORT, "/bytes", b"")
         return msgspec.json.decode(body, type=list[ByteCount])
 
     async def set_backend_faults(
         self, vm_name: str, faults: BackendFaults, port: int = BACKEND_PORT
     ) -> None:
         """Replace the faults of a backend server stand-in."""
-        await self._ask_backend(vm_name, port, FAULTS_TARGET, faults)
+        await self._call_backend(vm_name, port, FAULTS_TARGET, faults)
 
     async def backend_state(
         self, vm_name: str, port: int = BACKEND_PORT
     ) -> BackendState:
-        """Return what a backend server stand-in has counted."""
-        body = await self._ask_backend(vm_name, port, STATE_TARGET, None)
+        """Return the counts of a backend server stand-in."""
+        body = await self._call_backend(vm_name, port, STATE_TARGET, None)
         return msgspec.json.decode(body, type=BackendState)
 
-    async def _ask_backend(
+    async def _call_backend(
         self, vm_name: str, port: int, target: bytes, message: object
     ) -> bytes:
         url = f"http://{self.vm(vm_name).address}:{port}{target.decode()}"
@@ -151,35 +156,37 @@
 
     async def set_store_faults(self, faults: StoreFaults) -> None:
         """Replace the faults of the store stand-in."""
-        await self._control(STORE_PORT, "/faults", msgspec.json.encode(faults))
+        await self._call_control(STORE_PORT, "/faults", msgspec.json.encode(faults))
 
     async def store_calls(self) -> CallCounts:
-        """Return the calls that the store stand-in has counted."""
-        body = await self._control(STORE_PORT, "/calls", b"")
+        """Return the call counts of the store stand-in."""
+        body = await self._call_control(STORE_PORT, "/calls", b"")
         return msgspec.json.decode(body, type=CallCounts)
 
-    async def _control(self, port: int, path: str, body: bytes) -> bytes:
+    async def _call_control(self, port: int, path: str, body: bytes) -> bytes:
         url = f"http://{self.plan.store_address}:{port}{path}"
         async with httpcore.AsyncConnectionPool() as pool:
             response = await pool.request("POST", url, content=body)
         return response.content
 
     def start_node(self, name: str, **settings: object) -> None:
-        """Start the node of a VM; ``settings`` replace those of the mesh."""
+        """Start the node of a VM; ``settings`` override those of the mesh."""
         path = self.directory / f"{name}.json"
-        merged = self._node_settings(self.vm(name)) | settings
+        merged = self._build_node_settings(self.vm(name)) | settings
         path.write_text(json.dumps(merged, indent=2))
         seed = self._seed * 1000 + [vm.name for vm in self.plan.vms].index(name)
-        self._start(name, "marigoldchute.cmd.node", [str(path), "--seed", str(seed)])
-        self._starting[name] = self.admin(name).status
+        self._start_process(
+            name, "marigoldchute.cmd.node", [str(path), "--seed", str(seed)]
+        )
+        self._startup_checks[name] = self.admin(name).status
 
     def start_backend(self, settings: BackendSettings) -> str:
         """Start a backend server stand-in; return its process name."""
         name = f"backend-{settings.address}-{settings.port}"
         args = ["backend", json.dumps(dataclasses.asdict(settings))]
-        self._start(name, "marigoldchute.cmd.standin", args)
-        self._starting[name] = functools.partial(
-            _connect, settings.address, settings.port
+        self._start_process(name, "marigoldchute.cmd.standin", args)
+        self._startup_checks[name] = functools.partial(
+            _check_port, settings.address, settings.port
         )
         return name
 
@@ -188,13 +195,13 @@
         return self._processes[name]
 
     def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process by name."""
         process = self._processes.pop(name)
         process.kill()
         process.wait()
 
     def stop(self) -> None:
-        """End every process, without a drain of the nodes."""
+        """Stop every process, without draining the nodes."""
         nodes = {vm.name for vm in self.plan.vms}
         for name, process in self._processes.items():
             process.send_signal(signal.SIGINT if name in nodes else signal.SIGTERM)
@@ -207,7 +214,7 @@
         self._processes.clear()
 
     def run_ctl(self, args: Sequence[str]) -> subprocess.CompletedProcess[str]:
-        """Run the operator's program with the mesh's admin token."""
+        """Run ``marigoldchute-ctl`` with the admin token of the mesh."""
         return subprocess.run(
             [sys.executable, "-m", "marigoldchute.cmd.ctl", *args],
             env={**os.environ, "MARIGOLDCHUTE_TOKEN": ADMIN_TOKEN},
@@ -227,38 +234,38 @@
         Raises
         ------
         trio.TooSlowError
-            It did not hold in time.
+            The condition did not hold before the timeout.
         """
         client = self.admin(name)
-        await self._wait_started()
+        await self._wait_for_startup()
         with trio.fail_after(timeout_s):
             while True:
                 try:
                     status = await client.status()
                 except (PeerError, MarigoldchuteError):
-                    await trio.sleep(POLL_S)
+                    await trio.sleep(POLL_INTERVAL_S)
                     continue
                 if condition(status):
                     return status
-                await trio.sleep(POLL_S)
+                await trio.sleep(POLL_INTERVAL_S)
 
-    async def _wait_started(self) -> None:
-        """Wait until each process has answered once since its start, or has ended.
+    async def _wait_for_startup(self) -> None:
+        """Wait until each process has responded once since its start, or has exited.
 
-        How long the processes take to load their modules is no property of the mesh,
-        so it is not taken off the time in which a condition must hold. On a starved
-        machine the last of a herd answers seconds after the first.
+        The time that processes take to load their modules is not a property of the
+        mesh, so it does not count towards the timeout of a condition. On an overloaded
+        machine, the last of many processes starts to respond seconds after the first.
         """
-        for name, ask in tuple(self._starting.items()):
+        for name, check_started in tuple(self._startup_checks.items()):
             process = self._processes.get(name)
             while process is not None and process.poll() is None:
                 try:
-                    await ask()
+                    await check_started()
                 except (MarigoldchuteError, OSError):
-                    await trio.sleep(POLL_S)
+                    await trio.sleep(POLL_INTERVAL_S)
                 else:
                     break
-            self._starting.pop(name, None)
+            self._startup_checks.pop(name, None)
 
     async def wait_for_port(
         self, address: str, port: int, timeout_s: float = 15.0
@@ -268,19 +275,19 @@
         Raises
         ------
         trio.TooSlowError
-            It did not in time.
+            The process did not accept a connection before the timeout.
         """
         with trio.fail_after(timeout_s):
             while True:
                 try:
-                    await _connect(address, port)
+                    await _check_port(address, port)
                 except OSError:
-                    await trio.sleep(POLL_S)
+                    await trio.sleep(POLL_INTERVAL_S)
                     continue
                 return
 
     def write_key(self) -> None:
-        """Write the operator's signing key."""
+        """Write the operator's signing key to ``key_path``."""
         key = {
             "key_id": "ops-1",
             "private_key": self.private_key,
@@ -288,17 +295,17 @@
         }
         self.key_path.write_text(json.dumps(key))
 
-    def _node_settings(self, vm: Vm) -> dict[str, object]:
-        reached = self.plan.reached_address
-        seeds = [f"{reached(v.address)}:{PEER_PORT}" for v in self.plan.vms[:3]]
+    def _build_node_settings(self, vm: Vm) -> dict[str, object]:
+        reachable = self.plan.reached_address
+        seeds = [f"{reachable(v.address)}:{PEER_PORT}" for v in self.plan.vms[:3]]
         return {
             "name": vm.name,
             "address": vm.address,
-            "advertise_address": reached(vm.address),
+            "advertise_address": reachable(vm.address),
             "data_centre": vm.data_centre,
             "region": vm.region,
             "store": {
-                "address": reached(self.plan.store_address),
+                "address": reachable(self.plan.store_address),
                 "port": STORE_PORT,
             },
             "trusted_keys": [
@@ -310,17 +317,17 @@
             **self.node_settings,
         }
 
-    def _start(self, name: str, module: str, args: list[str]) -> None:
-        out = (self.directory / f"{name}.log").open("ab")
+    def _start_process(self, name: str, module: str, args: list[str]) -> None:
+        log_file = (self.directory / f"{name}.log").open("ab")
         self._processes[name] = subprocess.Popen(
             [sys.executable, "-m", module, *args],
             stdin=subprocess.DEVNULL,
-            stdout=out,
+            stdout=log_file,
             stderr=subprocess.STDOUT,
         )
 
 
-async def _connect(address: str, port: int) -> None:
-    """Open a connection and close it."""
+async def _check_port(address: str, port: int) -> None:
+    """Open a connection to a port and close it."""
     stream = await trio.open_tcp_stream(address, port)
     await stream.aclose()
--- a/marigoldchute/standins/store.py
+++ b/marigoldchute/standins/store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's object API, in memory, with switchable faults."""
+"""In-memory stand-in for the platform's object API, with configurable faults."""
 
 from __future__ import annotations
 
@@ -20,33 +20,34 @@
 WRITES_PER_S = 500
 READS_PER_S = 2000
 
-Listed = tuple[str, bytes | None, int]
+ObjectEntry = tuple[str, bytes | None, int]
 
 
 @dataclasses.dataclass(frozen=True)
 class StoreFaults:
-    """Faults of the stand-in; each is in force until replaced.
+    """Faults of the stand-in, applied until they are replaced.
 
     Parameters
     ----------
     down : bool
-        Answer every call with 503.
+        Respond to every call with status 503.
     delay_ms : int
-        Wait before each call.
+        Delay before each call is processed.
     lose_replies : int
-        Number of further writes that take effect but whose connection is cut.
+        Number of next writes that take effect, but whose response is cut off.
     lose_requests : int
-        Number of further writes that are cut before they take effect.
+        Number of next writes whose connection is cut before they take effect.
     stale_revisions : int
-        Answer reads as of this many revisions before the fault came.
+        Serve reads from the state this many revisions before the fault was set.
     compact : bool
-        Forget the log up to now once: watches from earlier revisions get 410.
+        Compact the log once, up to the current revision; watches from earlier revisions
+        get status 410.
     cut_answers : int
-        Number of further reads whose JSON ends half-way.
+        Number of next reads whose JSON is cut in half.
     corrupt_values : int
-        Number of further objects read whose value has one byte altered.
+        Number of next objects read whose value has one byte altered.
     truncate_values : int
-        Number of further objects read whose value has lost its second half.
+        Number of next objects read whose value lacks its second half.
     """
 
     down: bool = False
@@ -62,18 +63,18 @@
 
 @dataclasses.dataclass
 class CallCounts:
-    """Calls since the store started.
+    """Counts of calls since the store started.
 
     Parameters
     ----------
     read, write : int
-        Calls by kind; a watch counts as a read, each time it is waited on.
+        Number of calls by kind; each request of a watch counts as a read.
     watch : int
-        Reads that were watches.
+        Number of reads that were watches.
     refused : int
-        Calls above a rate.
+        Number of calls refused by a rate limit.
     peak_reads_per_s, peak_writes_per_s : int
-        Most calls in one second, refused ones included.
+        Highest number of calls in one second, including refused ones.
     """
 
     read: int = 0
@@ -85,18 +86,18 @@
 
 
 class CallMeter:
-    """Counts calls and refuses those above the rates."""
+    """Counts calls and refuses those above the rate limits."""
 
     def __init__(self) -> None:
         self.counts = CallCounts()
-        self._second = 0
+        self._current_second = 0
         self._reads = 0
         self._writes = 0
 
     def admit(self, write: bool, watch: bool, now_s: float) -> bool:
-        """Count a call and say whether the rate allows it."""
-        if int(now_s) != self._second:
-            self._second, self._reads, self._writes = int(now_s), 0, 0
+        """Count a call and return whether the rate limits allow it."""
+        if int(now_s) != self._current_second:
+            self._current_second, self._reads, self._writes = int(now_s), 0, 0
         self._reads += not write
         self._writes += write
         counts = self.counts
@@ -112,16 +113,16 @@
 
 
 class Store:
-    """Objects with store-wide revisions and long-polled watches."""
+    """Objects with store-wide revisions and long-polling watches."""
 
     def __init__(self) -> None:
         self.faults = StoreFaults()
         self.meter = CallMeter()
         self._objects: dict[str, tuple[bytes, int]] = {}
-        self._log: list[Listed] = []
-        self._compacted = 0
-        self._stale: Store | None = None
-        self._changed = trio.Event()
+        self._log: list[ObjectEntry] = []
+        self._compacted_revision = 0
+        self._stale_snapshot: Store | None = None
+        self._change_event = trio.Event()
 
     @property
     def revision(self) -> int:
@@ -129,33 +130,35 @@
         return self._log[-1][2] if self._log else 0
 
     @property
-    def reader(self) -> Store:
-        """What reads see: this store, or its past under ``stale_revisions``."""
-        return self._stale if self._stale is not None else self
+    def read_view(self) -> Store:
+        """Store that serves reads: this one, or a snapshot with ``stale_revisions``."""
+        return self._stale_snapshot if self._stale_snapshot is not None else self
 
     def set_faults(self, faults: StoreFaults) -> None:
-        """Replace the faults."""
+        """Replace the faults and apply ``stale_revisions`` and ``compact``."""
         self.faults = faults
-        self._stale = None
+        self._stale_snapshot = None
         if faults.stale_revisions:
-            self._stale = self._as_of(self.revision - faults.stale_revisions)
+            self._stale_snapshot = self._snapshot_at(
+                self.revision - faults.stale_revisions
+            )
         if faults.compact:
-            self._compacted = self.revision
-        self._wake()
+            self._compacted_revision = self.revision
+        self._notify_watches()
 
-    def spend(self, name: str) -> bool:
-        """Use up one of a counted fault; False when none is left."""
-        left = getattr(self.faults, name)
-        if left <= 0:
+    def consume_fault(self, name: str) -> bool:
+        """Use up one occurrence of a counted fault; return whether one was left."""
+        remaining = getattr(self.faults, name)
+        if remaining <= 0:
             return False
-        self.faults = dataclasses.replace(self.faults, **{name: left - 1})
+        self.faults = dataclasses.replace(self.faults, **{name: remaining - 1})
         return True
 
     def get(self, key: str) -> tuple[bytes, int] | None:
-        """Return value and revision of an object."""
+        """Return value and revision of an object, or None if it does not exist."""
         return self._objects.get(key)
 
-    def list_objects(self, prefix: str) -> list[Listed]:
+    def list_objects(self, prefix: str) -> list[ObjectEntry]:
         """Return key, value and revision of the objects under a prefix."""
         return [
             (key, *self._objects[key])
@@ -164,33 +167,35 @@
         ]
 
     def write(self, key: str, value: bytes | None, expected: int) -> int | None:
-        """Write or delete if the revision is as expected; None on conflict."""
-        held = self._objects.get(key)
-        if (held[1] if held else 0) != expected:
+        """Write or delete an object; return the revision, or None on a conflict."""
+        current = self._objects.get(key)
+        if (current[1] if current else 0) != expected:
             return None
-        self._apply(key, value, self.revision + 1)
-        self._wake()
+        self._apply_write(key, value, self.revision + 1)
+        self._notify_watches()
         return self.revision
 
-    async def changes(
+    async def wait_for_changes(
         self, prefix: str, after: int, wait_s: float
-    ) -> tuple[list[Listed], int] | None:
-        """Wait for changes under a prefix; None when the log was compacted."""
+    ) -> tuple[list[ObjectEntry], int] | None:
+        """Wait for changes under a prefix; return None if the log was compacted."""
         with trio.move_on_after(wait_s):
-            while not self.reader.has_changed(prefix, after):
-                await self._changed.wait()
-        seen = self.reader
-        if after < self._compacted:
+            while not self.read_view.has_changed(prefix, after):
+                await self._change_event.wait()
+        view = self.read_view
+        if after < self._compacted_revision:
             return None
-        return seen.changes_now(prefix, after), seen.revision
+        return view.changes_since(prefix, after), view.revision
 
     def has_changed(self, prefix: str, after: int) -> bool:
-        """Whether a watch from a revision has something to tell."""
-        return after < self._compacted or bool(self.changes_now(prefix, after))
-
-    def changes_now(self, prefix: str, after: int) -> list[Listed]:
-        """Return the last change of each object under a prefix after a revision."""
-        newest: dict[str, Listed] = {}
+        """Return whether a watch from a revision has a result."""
+        return after < self._compacted_revision or bool(
+            self.changes_since(prefix, after)
+        )
+
+    def changes_since(self, prefix: str, after: int) -> list[ObjectEntry]:
+        """Return the latest change of each object under a prefix after a revision."""
+        newest: dict[str, ObjectEntry] = {}
         for entry in reversed(self._log):
             if entry[2] <= after:
                 break
@@ -198,27 +203,27 @@
                 newest.setdefault(entry[0], entry)
         return sorted(newest.values(), key=lambda entry: entry[2])
 
-    def _as_of(self, revision: int) -> Store:
-        past = Store()
-        for key, value, written in self._log:
-            if written <= revision:
-                past._apply(key, value, written)
-        return past
+    def _snapshot_at(self, revision: int) -> Store:
+        snapshot = Store()
+        for key, value, written_revision in self._log:
+            if written_revision <= revision:
+                snapshot._apply_write(key, value, written_revision)
+        return snapshot
 
-    def _apply(self, key: str, value: bytes | None, revision: int) -> None:
+    def _apply_write(self, key: str, value: bytes | None, revision: int) -> None:
         if value is None:
             self._objects.pop(key, None)
         else:
             self._objects[key] = (value, revision)
         self._log.append((key, value, revision))
 
-    def _wake(self) -> None:
-        changed, self._changed = self._changed, trio.Event()
-        changed.set()
+    def _notify_watches(self) -> None:
+        change_event, self._change_event = self._change_event, trio.Event()
+        change_event.set()
 
 
 class StoreApp:
-    """ASGI application around a ``Store``."""
+    """ASGI application that serves a ``Store``."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
@@ -228,17 +233,17 @@
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
         elif scope["type"] == "http":
-            await self._serve_http(scope, receive, send)
+            await self._handle_http(scope, receive, send)
 
-    async def _serve_http(self, scope: Scope, receive: Receive, send: Send) -> None:
+    async def _handle_http(self, scope: Scope, receive: Receive, send: Send) -> None:
         path = scope["path"]
         if path == "/faults":
             body = await read_body(receive, MAX_VALUE_BYTES) or b""
             self._store.set_faults(msgspec.json.decode(body, type=StoreFaults))
-            await _answer(send, 200, {})
+            await _send_json(send, 200, {})
             return
         if path == "/calls":
-            await _answer(send, 200, dataclasses.asdict(self._store.meter.counts))
+            await _send_json(send, 200, dataclasses.asdict(self._store.meter.counts))
             return
         if self._store.faults.delay_ms:
             await trio.sleep(self._store.faults.delay_ms / 1000)
@@ -246,87 +251,91 @@
         watch = path.startswith("/v1/watch/")
         admitted = self._store.meter.admit(write, watch, trio.current_time())
         if self._store.faults.down:
-            await _answer(send, 503, {"error": "down"})
+            await _send_json(send, 503, {"error": "down"})
         elif not admitted:
-            await _answer(send, 429, {"error": "rate"})
+            await _send_json(send, 429, {"error": "rate"})
         elif write:
-            await self._write(scope, receive, send)
+            await self._handle_write(scope, receive, send)
         else:
-            await self._read(scope, send)
+            await self._handle_read(scope, send)
 
-    async def _read(self, scope: Scope, send: Send) -> None:
+    async def _handle_read(self, scope: Scope, send: Send) -> None:
         kind, _, name = scope["path"].removeprefix("/v1/").partition("/")
         if kind == "list":
-            seen = self._store.reader
-            result = self._items(seen.list_objects(name), seen.revision)
+            view = self._store.read_view
+            result = self._encode_items(view.list_objects(name), view.revision)
         elif kind == "watch":
-            query = _query(scope)
+            query = _parse_query(scope)
             after = int(query["after_revision"])
             wait_s = int(query["wait_ms"]) / 1000
-            changes = await self._store.changes(name, after, wait_s)
+            changes = await self._store.wait_for_changes(name, after, wait_s)
             if changes is None:
-                await _answer(send, 410, {"error": "compacted"})
+                await _send_json(send, 410, {"error": "compacted"})
                 return
-            result = self._items(*changes)
+            result = self._encode_items(*changes)
         else:
-            held = self._store.reader.get(name)
-            if held is None:
-                await _answer(send, 404, {"error": "not found"})
+            current = self._store.read_view.get(name)
+            if current is None:
+                await _send_json(send, 404, {"error": "not found"})
                 return
-            result = self._item(name, *held)
-        if self._store.spend("cut_answers"):
+            result = self._encode_item(name, *current)
+        if self._store.consume_fault("cut_answers"):
             body = json.dumps(result).encode()
             await answer(send, 200, body[: len(body) // 2])
             return
-        await _answer(send, 200, result)
+        await _send_json(send, 200, result)
 
-    async def _write(self, scope: Scope, receive: Receive, send: Send) -> None:
+    async def _handle_write(self, scope: Scope, receive: Receive, send: Send) -> None:
         body = await read_body(receive, MAX_VALUE_BYTES)
         if body is None:
-            await _answer(send, 413, {"error": "too large"})
+            await _send_json(send, 413, {"error": "too large"})
             return
-        if self._store.spend("lose_requests"):
-            await _cut_connection(send)
+        if self._store.consume_fault("lose_requests"):
+            await _abort_response(send)
         value = None if scope["method"] == "DELETE" else body
-        name = scope["path"].removeprefix("/v1/objects/")
-        expected = int(_query(scope)["expected_revision"])
-        revision = self._store.write(name, value, expected)
-        if self._store.spend("lose_replies"):
-            await _cut_connection(send)
+        key = scope["path"].removeprefix("/v1/objects/")
+        expected = int(_parse_query(scope)["expected_revision"])
+        revision = self._store.write(key, value, expected)
+        if self._store.consume_fault("lose_replies"):
+            await _abort_response(send)
         if revision is None:
-            await _answer(send, 409, {"error": "revision"})
+            await _send_json(send, 409, {"error": "revision"})
         else:
-            await _answer(send, 200, {"revision": revision})
+            await _send_json(send, 200, {"revision": revision})
 
-    def _items(self, entries: list[Listed], revision: int) -> dict[str, Any]:
-        return {"items": [self._item(*e) for e in entries], "revision": revision}
+    def _encode_items(
+        self, entries: list[ObjectEntry], revision: int
+    ) -> dict[str, Any]:
+        return {"items": [self._encode_item(*e) for e in entries], "revision": revision}
 
-    def _item(self, key: str, value: bytes | None, revision: int) -> dict[str, Any]:
+    def _encode_item(
+        self, key: str, value: bytes | None, revision: int
+    ) -> dict[str, Any]:
         encoded = None
         if value is not None:
-            if value and self._store.spend("corrupt_values"):
+            if value and self._store.consume_fault("corrupt_values"):
                 value = value[:-1] + bytes([value[-1] ^ 0x01])
-            if value and self._store.spend("truncate_values"):
+            if value and self._store.consume_fault("truncate_values"):
                 value = value[: len(value) // 2]
             encoded = base64.b64encode(value).decode()
         return {"key": key, "value": encoded, "revision": revision}
 
 
-def _query(scope: Scope) -> dict[str, str]:
+def _parse_query(scope: Scope) -> dict[str, str]:
     return dict(urllib.parse.parse_qsl(scope["query_string"].decode()))
 
 
-async def _answer(send: Send, status: int, value: object) -> None:
+async def _send_json(send: Send, status: int, value: object) -> None:
     await answer(send, status, json.dumps(value).encode())
 
 
-async def _cut_connection(send: Send) -> None:
+async def _abort_response(send: Send) -> None:
     headers = [(b"content-length", b"100")]
     await send({"type": "http.response.start", "status": 200, "headers": headers})
     await send({"type": "http.response.body", "body": b"{", "more_body": True})
-    raise ConnectionAbortedError("reply lost on purpose")
+    raise ConnectionAbortedError("connection cut by an injected fault")
 
 
 async def serve_store(address: str, port: int) -> None:
-    """Serve a store on an address until cancelled."""
+    """Serve an empty store on an address and port until cancelled."""
     await serve_app(StoreApp(Store()), address, port)
--- a/marigoldchute/standins/traffic.py
+++ b/marigoldchute/standins/traffic.py
@@ -1,4 +1,4 @@
-"""Stand-in for callers: steady requests to the nodes of a mesh."""
+"""Stand-in for callers that send requests to the nodes of a mesh at a constant rate."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 REQUEST_TIMEOUT_S = 5.0
 OUTCOME_HEADER = b"marigoldchute-outcome"
-NO_ANSWER = "no answer"
+NO_RESPONSE = "no answer"
 
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-    """How one kind of request ended.
+    """Path and result of a request.
 
     Parameters
     ----------
     path : str
-        Requested path.
+        Request path.
     result : str
-        Status and release, or what a refusal says of the outcome.
+        Status and release, or status and outcome header of a refusal.
     """
 
     path: str
@@ -35,16 +35,16 @@
 
 
 class Callers:
-    """Sends requests at a steady rate, whether or not earlier ones were answered.
+    """Sends requests at a constant rate, whether or not earlier ones are complete.
 
     Parameters
     ----------
     origins : sequence of str
         ``address:port`` of the nodes, chosen at random for each request.
     paths : sequence of str
-        Requested paths, in turn.
+        Request paths, used in turn.
     rate_per_s : float
-        Requests a second over all paths.
+        Requests per second over all paths.
     seed : int
         Seed of the random choices.
     """
@@ -64,27 +64,29 @@
             httpcore.AsyncConnectionPool(max_connections=200) as pool,
             trio.open_nursery() as nursery,
         ):
-            sent = 0
+            request_count = 0
             start = trio.current_time()
             while True:
-                path = self._paths[sent % len(self._paths)]
-                nursery.start_soon(self._call, pool, path)
-                sent += 1
-                await trio.sleep_until(start + sent * self._interval_s)
+                path = self._paths[request_count % len(self._paths)]
+                nursery.start_soon(self._send_request, pool, path)
+                request_count += 1
+                await trio.sleep_until(start + request_count * self._interval_s)
 
-    async def _call(self, pool: httpcore.AsyncConnectionPool, path: str) -> None:
+    async def _send_request(
+        self, pool: httpcore.AsyncConnectionPool, path: str
+    ) -> None:
         url = f"http://{self._rng.choice(self._origins)}{path}"
-        result = NO_ANSWER
+        result = NO_RESPONSE
         try:
             with trio.move_on_after(REQUEST_TIMEOUT_S):
                 response = await pool.request("GET", url)
-                result = _describe(response)
+                result = _describe_response(response)
         except (httpcore.NetworkError, httpcore.ProtocolError):
-            result = NO_ANSWER
+            result = NO_RESPONSE
         self.outcomes[Outcome(path, result)] += 1
 
 
-def _describe(response: httpcore.Response) -> str:
+def _describe_response(response: httpcore.Response) -> str:
     outcome = dict(response.headers).get(OUTCOME_HEADER)
     if outcome is not None:
         return f"{response.status} {outcome.decode()}"
--- a/tests/test_standins/test_backend_faults.py
+++ b/tests/test_standins/test_backend_faults.py
@@ -1,4 +1,4 @@
-"""When the faults of the backend server stand-in act."""
+"""Conditions and replacement of the faults of the backend server stand-in."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from tests.support.meshes import MeshTestCase
 
 
-class ActOnTest(unittest.TestCase):
-    def test_faults_act_on_their_path_only(self) -> None:
+class FaultConditionsTest(unittest.TestCase):
+    def test_faults_apply_only_to_their_path_prefix(self) -> None:
         faults = BackendFaults(path_prefix="/reservas")
-        self.assertTrue(faults.act_on("/reservas/1", 1, 0.0))
-        self.assertFalse(faults.act_on("/turnos/1", 1, 0.0))
+        self.assertTrue(faults.apply_to("/reservas/1", 1, 0.0))
+        self.assertFalse(faults.apply_to("/turnos/1", 1, 0.0))
 
-    def test_faults_act_under_load_only(self) -> None:
+    def test_faults_apply_only_above_running_threshold(self) -> None:
         faults = BackendFaults(more_than_running=3)
-        self.assertFalse(faults.act_on("/", 3, 0.0))
-        self.assertTrue(faults.act_on("/", 4, 0.0))
+        self.assertFalse(faults.apply_to("/", 3, 0.0))
+        self.assertTrue(faults.apply_to("/", 4, 0.0))
 
-    def test_faults_act_from_their_time_on(self) -> None:
+    def test_faults_apply_only_after_their_delay(self) -> None:
         faults = BackendFaults(after_s=2.0)
-        self.assertFalse(faults.act_on("/", 1, 1.9))
-        self.assertTrue(faults.act_on("/", 1, 2.0))
+        self.assertFalse(faults.apply_to("/", 1, 1.9))
+        self.assertTrue(faults.apply_to("/", 1, 2.0))
 
 
-class SwitchTest(MeshTestCase):
-    def test_faults_can_be_set_while_it_runs(self) -> None:
-        self.run_async(self._switch, 20)
+class FaultChangeTest(MeshTestCase):
+    def test_faults_can_be_set_on_running_stand_in(self) -> None:
+        self.run_async(self._set_faults_on_running_stand_in, 20)
 
-    async def _switch(self) -> None:
+    async def _set_faults_on_running_stand_in(self) -> None:
         vm = self.mesh.plan.vms[0]
         self.mesh.start_backend(
             BackendSettings(vm.address, BACKEND_PORT, 0, "turnos", "r1")
