--- a/marigoldchute/bundle/__init__.py
+++ b/marigoldchute/bundle/__init__.py
@@ -1,1 +1,1 @@
-"""Bundles: model, validation, sign-off and the one in force."""
+"""Bundles: model, encoding, validation, signing and the bundle in force."""
--- a/marigoldchute/bundle/codec.py
+++ b/marigoldchute/bundle/codec.py
@@ -1,8 +1,8 @@
 """Encoding of bundles as content-addressed chunks.
 
-A chunk holds one service with its routes and moves, so a change to one service moves
-one chunk. The routes of a large service are divided by the hashes of their names, so a
-change to one route still moves one chunk.
+A chunk contains one service with its routes and moves, so a change to one service
+replaces one chunk. The routes of a large service are divided by the hashes of their
+names, so a change to one route still replaces only one chunk.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
     from marigoldchute.bundle.model import Route
 
-HASH_BITS = 64
+NAME_HASH_BITS = 64
 DIGEST_BYTES = 32
 
 _CONTENT = msgspec.msgpack.Decoder(BundleContent)
@@ -36,7 +36,7 @@
 
 
 class _PackedManifest(msgspec.Struct, frozen=True, array_like=True):
-    """``Manifest`` with digests as bytes, half the size that flows at each change."""
+    """``Manifest`` with binary digests, which halves the bytes sent at each change."""
 
     version: int
     chunks: bytes
@@ -58,32 +58,34 @@
 def split_content(content: BundleContent) -> list[bytes]:
     """Encode content as chunks of at most ``MAX_CHUNK_BYTES``, in service order.
 
-    The chunks depend on what the content holds and not on the order of its items.
-    Routes and moves of services that the content lacks travel in last chunks, so that
-    validation can name them.
+    The chunks depend on the items of the content and not on their order. Routes and
+    moves of services that are missing in the content are encoded as last chunks, so
+    that validation can report them.
     """
     names = sorted({service.name for service in content.services})
-    parts = [_part_of(content, name) for name in names]
-    known = set(names)
-    rest = BundleContent(
+    parts = [_service_part(content, name) for name in names]
+    service_names = set(names)
+    unassigned = BundleContent(
         services=(),
-        routes=_ordered(r for r in content.routes if r.service not in known),
-        moves=tuple(m for m in content.moves if m.service not in known),
+        routes=_sorted_routes(
+            r for r in content.routes if r.service not in service_names
+        ),
+        moves=tuple(m for m in content.moves if m.service not in service_names),
     )
-    if rest.routes or rest.moves:
-        parts.append(rest)
+    if unassigned.routes or unassigned.moves:
+        parts.append(unassigned)
     return [chunk for part in parts for chunk in _encode_part(part)]
 
 
-def _part_of(content: BundleContent, name: str) -> BundleContent:
+def _service_part(content: BundleContent, name: str) -> BundleContent:
     return BundleContent(
         services=tuple(s for s in content.services if s.name == name),
-        routes=_ordered(r for r in content.routes if r.service == name),
+        routes=_sorted_routes(r for r in content.routes if r.service == name),
         moves=tuple(m for m in content.moves if m.service == name),
     )
 
 
-def _ordered(routes: Iterable[Route]) -> tuple[Route, ...]:
+def _sorted_routes(routes: Iterable[Route]) -> tuple[Route, ...]:
     return tuple(sorted(routes, key=lambda route: (route.name, route.path_prefix)))
 
 
@@ -91,13 +93,13 @@
     encoded = _ENCODER.encode(part)
     if len(encoded) <= MAX_CHUNK_BYTES or len(part.routes) < 2:
         return [encoded]
-    head = BundleContent(part.services, (), part.moves)
-    return [_ENCODER.encode(head), *_encode_routes(part.routes, 0)]
+    without_routes = BundleContent(part.services, (), part.moves)
+    return [_ENCODER.encode(without_routes), *_encode_routes(part.routes, 0)]
 
 
 def _encode_routes(routes: tuple[Route, ...], depth: int) -> list[bytes]:
     encoded = _ENCODER.encode(BundleContent((), routes))
-    if len(encoded) <= MAX_CHUNK_BYTES or depth == HASH_BITS:
+    if len(encoded) <= MAX_CHUNK_BYTES or depth == NAME_HASH_BITS:
         return [encoded]
     halves: tuple[list[Route], list[Route]] = ([], [])
     for route in routes:
@@ -111,7 +113,7 @@
 
 
 def _name_hash(name: str) -> int:
-    digest = hashlib.blake2b(name.encode(), digest_size=HASH_BITS // 8).digest()
+    digest = hashlib.blake2b(name.encode(), digest_size=NAME_HASH_BITS // 8).digest()
     return int.from_bytes(digest, "big")
 
 
@@ -152,10 +154,11 @@
     Raises
     ------
     BundleError
-        A chunk is missing, altered or malformed, or the content is too large.
+        A chunk is missing, malformed or does not match its digest, or the content is
+        too large.
     """
     check_count("manifest's chunks", len(manifest.chunks), MAX_CHUNKS)
-    ordered: list[bytes] = []
+    ordered_chunks: list[bytes] = []
     for digest in manifest.chunks:
         chunk = chunks.get(digest)
         if chunk is None:
@@ -164,20 +167,21 @@
             )
         if chunk_digest(chunk) != digest:
             raise BundleError(
-                f"chunk {digest[:12]} is altered", ResultCode.BUNDLE_DIGEST_MISMATCH
+                f"chunk {digest[:12]} does not match its digest",
+                ResultCode.BUNDLE_DIGEST_MISMATCH,
             )
         check_size(f"chunk {digest[:12]}", len(chunk), MAX_CHUNK_BYTES)
-        ordered.append(chunk)
-    check_size("bundle", sum(map(len, ordered)), MAX_CONTENT_BYTES)
-    return join_chunks(ordered)
+        ordered_chunks.append(chunk)
+    check_size("bundle", sum(map(len, ordered_chunks)), MAX_CONTENT_BYTES)
+    return join_chunks(ordered_chunks)
 
 
 def manifest_digest(
     version: int, chunks: Sequence[str], author: str, token: str
 ) -> str:
-    """Return the SHA-256 of all that a signature covers, in hexadecimal."""
-    covered = ("marigoldchute bundle", version, tuple(chunks), author, token)
-    return hashlib.sha256(_ENCODER.encode(covered)).hexdigest()
+    """Return the SHA-256 of all fields that a signature covers, in hexadecimal."""
+    signed_fields = ("marigoldchute bundle", version, tuple(chunks), author, token)
+    return hashlib.sha256(_ENCODER.encode(signed_fields)).hexdigest()
 
 
 def encode_manifest(manifest: Manifest) -> bytes:
@@ -208,7 +212,7 @@
     except (msgspec.DecodeError, RecursionError) as exc:
         raise BundleError(f"manifest is malformed: {exc}") from exc
     if len(packed.chunks) % DIGEST_BYTES:
-        raise BundleError("manifest is malformed: a digest is cut")
+        raise BundleError("manifest is malformed: the last digest is incomplete")
     digests = tuple(
         packed.chunks[start : start + DIGEST_BYTES].hex()
         for start in range(0, len(packed.chunks), DIGEST_BYTES)
--- a/marigoldchute/bundle/inforce.py
+++ b/marigoldchute/bundle/inforce.py
@@ -1,4 +1,4 @@
-"""The one bundle that a node has in force."""
+"""Reference to the bundle that a node has in force."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class InForce:
-    """Holds one reference; it only ever moves to a higher version."""
+    """Holds the bundle in force, which is only replaced by a higher version."""
 
     def __init__(self) -> None:
         self._bundle: Bundle | None = None
@@ -32,7 +32,7 @@
         return self._bundle.version if self._bundle is not None else 0
 
     def on_swap(self, listener: SwapListener) -> None:
-        """Call ``listener`` with each bundle that comes into force."""
+        """Register a listener that is called with each bundle that comes into force."""
         self._listeners.append(listener)
 
     def swap(self, bundle: Bundle) -> bool:
@@ -52,7 +52,7 @@
             listener(bundle)
         return True
 
-    async def wait_for(self, version: int) -> None:
-        """Wait until at least a version is in force."""
+    async def wait_for_version(self, version: int) -> None:
+        """Wait until this version or a higher one is in force."""
         while self.version < version:
             await self._changed.wait()
--- a/marigoldchute/bundle/limits.py
+++ b/marigoldchute/bundle/limits.py
@@ -1,4 +1,4 @@
-"""Limits of a bundle, and the checks of single values against them."""
+"""Limits of a bundle, and checks of single values against them."""
 
 from __future__ import annotations
 
@@ -32,17 +32,18 @@
 
 
 def check_name(path: str, name: str) -> None:
-    """Refuse a name that is empty, too long or has other characters.
+    """Raise an error for a name that is empty, too long or has invalid characters.
 
     Parameters
     ----------
     path : str
-        Key path for the message, such as ``$.services[0].name``.
+        Key path for the error message, such as ``$.services[0].name``.
     name : str
-        Letters, digits, dots, underscores and hyphens, the first one a letter or digit.
+        Name of letters, digits, dots, underscores and hyphens, which must start with
+        a letter or digit.
     """
     if _NAME.fullmatch(name) is None:
-        raise _invalid(
+        raise _out_of_range(
             path,
             f"{name[:80]!r} is not a name of 1 to {MAX_NAME_LENGTH} letters, digits "
             "and ._- that starts with a letter or digit",
@@ -50,17 +51,17 @@
 
 
 def check_token(path: str, text: str) -> None:
-    """Refuse what is not an HTTP token, such as a method or a header name."""
+    """Raise an error unless a method or header name is an HTTP token."""
     if _TOKEN.fullmatch(text) is None:
-        raise _invalid(path, f"{text[:80]!r} is not an HTTP token")
+        raise _out_of_range(path, f"{text[:80]!r} is not an HTTP token")
 
 
 def check_path_prefix(path: str, prefix: str) -> None:
-    """Refuse a path prefix that no request could match."""
+    """Raise an error for a path prefix that no request can match."""
     if not prefix.startswith("/"):
-        raise _invalid(path, f"{prefix[:80]!r} does not start with '/'")
+        raise _out_of_range(path, f"{prefix[:80]!r} does not start with '/'")
     if _PATH.fullmatch(prefix) is None:
-        raise _invalid(
+        raise _out_of_range(
             path,
             f"{prefix[:80]!r} is longer than {MAX_PATH_LENGTH} characters or has "
             "spaces, '?', '#' or characters that must be percent-encoded",
@@ -68,27 +69,27 @@
 
 
 def check_range(path: str, value: float, low: float, high: float) -> None:
-    """Refuse a number outside a closed range, or one that is not a number."""
+    """Raise an error for NaN or a number outside a closed range."""
     if not low <= value <= high:
-        raise _invalid(path, f"{value} is not between {low} and {high}")
+        raise _out_of_range(path, f"{value} is not between {low} and {high}")
 
 
 def check_count(path: str, count: int, limit: int) -> None:
-    """Refuse more items than a limit."""
+    """Raise an error when there are more items than the limit."""
     if count > limit:
         raise BundleError(
             f"{path}: {count} items, the limit is {limit}", ResultCode.BUNDLE_TOO_LARGE
         )
 
 
-def check_size(what: str, size: int, limit: int) -> None:
-    """Refuse more bytes than a limit."""
+def check_size(subject: str, size: int, limit: int) -> None:
+    """Raise an error when there are more bytes than the limit."""
     if size > limit:
         raise BundleError(
-            f"{what} has {size} bytes, the limit is {limit}",
+            f"{subject} has {size} bytes, the limit is {limit}",
             ResultCode.BUNDLE_TOO_LARGE,
         )
 
 
-def _invalid(path: str, detail: str) -> BundleError:
+def _out_of_range(path: str, detail: str) -> BundleError:
     return BundleError(f"{path}: {detail}", ResultCode.BUNDLE_VALUE_OUT_OF_RANGE)
--- a/marigoldchute/bundle/model.py
+++ b/marigoldchute/bundle/model.py
@@ -1,4 +1,4 @@
-"""Bundle model: services, routes and moves as one immutable object."""
+"""Immutable model of a bundle: services, routes, moves and caller limits."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Thresholds:
-    """When a new release counts as faulty.
+    """Limits beyond which a new release counts as faulty.
 
     Parameters
     ----------
     max_error_increase : float
-        Tolerated excess of the new release's error share over the old one's.
+        Tolerated increase of the error share of the new release over the old one.
     max_slow_increase : float
-        Tolerated excess of the share of slow answers, where slow means above
-        ``slow_ratio`` times the old release's 95th percentile.
+        Tolerated increase of the share of slow responses. A response is slow when its
+        latency exceeds ``slow_ratio`` times the 95th percentile of the old release.
     slow_ratio : float
-        Latency ratio from which an answer counts as slow.
+        Latency ratio above which a response counts as slow.
     false_alarm : float
         Probability of taking back a good release.
     """
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """One stage of a move.
+    """Step of a move.
 
     Parameters
     ----------
     share : float
-        Share of the service's requests for the new release, 0 to 1.
+        Share of the service's requests that go to the new release, 0 to 1.
     hold_ms : int
-        Shortest time at this share before the next step.
+        Minimum time at this share before the next step.
     """
 
     share: float
@@ -46,24 +46,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class Move:
-    """Order to take a service from one release to another.
+    """Stepwise transfer of a service's traffic from one release to another.
 
     Parameters
     ----------
     move_id : str
-        Unique name.
+        Unique name of the move.
     service : str
-        Service whose traffic moves.
+        Name of the service whose traffic is moved.
     old_release, new_release : str
-        Releases from which and to which traffic moves.
+        Releases from which and to which traffic is moved.
     start_ms, deadline_ms : int
         Wall-clock times in milliseconds since the epoch.
     steps : tuple of Step
-        Rising shares; the last one is 1.
+        Steps with increasing shares; the last share is 1.
     watch_ms : int
-        Time at full share during which a fault still takes the move back.
+        Time at full share during which a fault still causes the move to be taken back.
     thresholds : Thresholds
-        Fault limits.
+        Limits beyond which the new release counts as faulty.
     """
 
     move_id: str
@@ -79,20 +79,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Service:
-    """Resource that routes refer to.
+    """Service that routes refer to.
 
     Parameters
     ----------
     name : str
         Service name, as announced by its backend servers.
     release : str
-        Release that takes the traffic when no move is under way.
+        Release that receives the traffic when no move is in progress.
     internal : bool
         Whether only other backend servers may call it.
     depends_on : tuple of str
         Names of services of the same bundle that its backend servers call.
     max_connections : int
-        Connections that each backend server accepts; as announced when 0.
+        Connections that each backend server accepts; 0 for the announced number.
     """
 
     name: str
@@ -104,14 +104,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class RoutePart:
-    """Service that takes a part of a route's requests.
+    """Service that receives a share of the requests of a route.
 
     Parameters
     ----------
     service : str
         Name of a service of the same bundle.
     weight : float
-        Its part, relative to the weights of the other parts.
+        Weight relative to the other parts of the route.
     """
 
     service: str
@@ -120,34 +120,34 @@
 
 @dataclasses.dataclass(frozen=True)
 class Route:
-    """Rule from a path prefix to a service.
+    """Rule that maps a path prefix to a service.
 
     Parameters
     ----------
     name : str
         Route name, used in metrics and evidence.
     path_prefix : str
-        Requests whose path starts with it take the route; the longest wins.
+        Requests whose path starts with it match the route; the longest prefix wins.
     service : str
         Name of the service in the same bundle.
     timeout_ms : int
-        Deadline of a request that brings none.
+        Timeout of a request that has no deadline of its own.
     idempotent_methods : tuple of str
-        HTTP methods that may run more than once.
+        HTTP methods whose requests may be executed more than once.
     priority : int
         Admission class, 0 is served first and 2 is shed first.
     max_attempts : int
-        Greatest number of tries, the first one included.
+        Maximum number of attempts, including the first one.
     sticky_header : str
-        Request header whose hash picks the release; empty for random choice.
+        Request header whose hash selects the release; empty for a random choice.
     host : str
-        Host that the route belongs to; empty for every host.
+        Host to which the route applies; empty for every host.
     parts : tuple of RoutePart
-        Services among which requests are divided; ``service`` takes all when empty.
+        Services that share the requests; ``service`` receives all when empty.
     repeatable : bool or None
-        Whether requests may run more than once; by method when None.
+        Whether requests may be executed more than once; None to decide by method.
     objective_ms : int
-        Time within which an answer has its full worth; 0 when none is stated.
+        Latency objective: a later response no longer has its full value. 0 for none.
     """
 
     name: str
@@ -166,16 +166,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallerLimits:
-    """What a caller may send and how long it may take.
+    """Limits on the size and duration of what callers send.
 
     Parameters
     ----------
     head_bytes, body_bytes : int
-        Greatest head and body of a request; a body has no limit when 0.
+        Maximum size of the head and the body of a request; 0 means that the body has
+        no limit.
     head_timeout_ms : int
-        Longest time from the first byte of a head to its last.
+        Maximum time from the first to the last byte of a head.
     idle_timeout_ms : int
-        Longest time that a connection stays open without a request.
+        Maximum time that a connection stays open without a request.
     """
 
     head_bytes: int = 65_536
@@ -186,7 +187,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class BundleContent:
-    """What an operator signs off, without a version number."""
+    """Content of a bundle, which an operator signs together with a version number."""
 
     services: tuple[Service, ...]
     routes: tuple[Route, ...]
@@ -196,12 +197,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Manifest:
-    """Signed description of a bundle; the content travels as chunks.
+    """Signed description of a bundle, whose content is sent as separate chunks.
 
     Parameters
     ----------
     version : int
-        Rises by one with each accepted bundle.
+        Version number, which increases by one with each accepted bundle.
     chunks : tuple of str
         SHA-256 digests in hexadecimal, in order; the joined chunks decode to
         ``BundleContent``.
@@ -212,9 +213,10 @@
     signature : bytes
         Ed25519 signature over ``digest``.
     author : str
-        Operator who signed off.
+        Operator who signed the bundle.
     token : str
-        Unique token of the roll, by which a lost reply is resolved.
+        Unique token of the roll, by which a writer recognizes its own manifest in the
+        store after a lost response.
     """
 
     version: int
--- a/marigoldchute/bundle/signing.py
+++ b/marigoldchute/bundle/signing.py
@@ -1,4 +1,4 @@
-"""Sign-off of bundles with Ed25519 keys."""
+"""Signing and verification of bundles with Ed25519 keys."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     author: str,
     token: str,
 ) -> Manifest:
-    """Return a signed manifest for a version and its chunk digests."""
+    """Return the signed manifest of a version with these chunk digests."""
     digest = manifest_digest(version, chunks, author, token)
     key = Ed25519PrivateKey.from_private_bytes(_decode_key(private_key))
     signature = key.sign(digest.encode())
@@ -59,7 +59,7 @@
 
 
 class SignatureVerifier:
-    """Checks manifests against the trusted keys of the settings."""
+    """Verifies manifests with the trusted keys of the settings."""
 
     def __init__(self, keys: Iterable[TrustedKey]) -> None:
         self._keys = {
@@ -68,12 +68,13 @@
         }
 
     def verify(self, manifest: Manifest) -> None:
-        """Check the digest and the signature of a manifest.
+        """Verify the digest and the signature of a manifest.
 
         Raises
         ------
         BundleError
-            The manifest is unsigned, signed with an unknown key, or altered.
+            The manifest is not signed, is signed with an untrusted key, or does not
+            match its digest or signature.
         """
         if not manifest.signature:
             raise BundleError("bundle is not signed", ResultCode.BUNDLE_UNSIGNED)
--- a/marigoldchute/bundle/signoff.py
+++ b/marigoldchute/bundle/signoff.py
@@ -1,4 +1,4 @@
-"""Sign-off of built bundles into the order that a node accepts."""
+"""Parsing of bundle and key files, and signing of bundles for a roll."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class KeyFile:
-    """Signing key of an operator, as ``keys new`` writes it.
+    """Signing key of an operator, in the file format of ``keys new``.
 
     Parameters
     ----------
     key_id : str
-        Name under which the nodes trust the key.
+        Name of the key in the trusted keys of the nodes.
     private_key, public_key : str
         Ed25519 key pair, 32 bytes each in base64.
     """
@@ -35,18 +35,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class BuiltBundle:
-    """Checked content with fixed times, ready to be signed."""
+    """Validated content with absolute times, ready to be signed."""
 
     content: BundleContent
 
 
 def parse_key_file(value: Any, source: str) -> KeyFile:
-    """Check a decoded key file.
+    """Convert and check a decoded key file.
 
     Raises
     ------
     SettingsError
-        A value is missing, or the two halves of the key do not belong together.
+        A value is missing, or the public key does not belong to the private key.
     """
     try:
         key = convert(value, KeyFile)
@@ -64,19 +64,19 @@
 def content_of_file(
     value: Any, source: str, now_ms: int, complete_within_ms: int | None = None
 ) -> BundleContent:
-    """Return the checked content of an operator's or a built file.
+    """Return the validated content of an operator's source file or a built file.
 
     Parameters
     ----------
     value : Any
         Decoded file.
     source : str
-        File name for messages.
+        File name for error messages.
     now_ms : int
-        Wall-clock time in milliseconds since the epoch, from which the relative times
-        of an operator's file count.
+        Wall-clock time in milliseconds since the epoch to which the relative times of
+        a source file are added.
     complete_within_ms : int, optional
-        Replaces the time limit of every move of an operator's file.
+        Replaces the time limit of every move of a source file.
 
     Raises
     ------
@@ -89,8 +89,8 @@
         except ConversionError as exc:
             raise BundleError(f"{source}: {exc}") from exc
     else:
-        parsed = parse_source(value, source)
-        content = build_content(parsed, now_ms, complete_within_ms)
+        bundle_source = parse_source(value, source)
+        content = build_content(bundle_source, now_ms, complete_within_ms)
     try:
         validate_content(content)
     except MarigoldchuteError as exc:
@@ -101,7 +101,7 @@
 def sign_content(
     content: BundleContent, version: int, key: KeyFile, author: str
 ) -> RollOrder:
-    """Sign content off as a version and return the order for a node."""
+    """Sign content as a version and return the roll order for a node."""
     chunks = split_content(content)
     manifest = sign_manifest(
         version,
@@ -115,12 +115,12 @@
 
 
 def is_signed_file(value: Any) -> bool:
-    """Whether a decoded file is a signed bundle."""
+    """Return whether a decoded file is a signed bundle."""
     return isinstance(value, dict) and "manifest" in value
 
 
 def parse_signed(value: Any, source: str) -> RollOrder:
-    """Check a decoded signed bundle.
+    """Convert and check a decoded signed bundle.
 
     Raises
     ------
--- a/marigoldchute/bundle/source.py
+++ b/marigoldchute/bundle/source.py
@@ -1,4 +1,4 @@
-"""The operator's file from which a bundle is built."""
+"""Source file of an operator, from which a bundle is built."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class MoveSource:
-    """A move as an operator writes it, with times relative to the roll.
+    """Move of a source file, with times relative to the roll.
 
     Parameters
     ----------
@@ -30,11 +30,11 @@
     start_after_ms : int
         Time from the roll to the start.
     steps : tuple of Step
-        Rising shares.
+        Steps with increasing shares; the last share is 1.
     watch_ms : int
-        Watch at full share.
+        Time at full share during which a fault still causes the move to be taken back.
     thresholds : Thresholds
-        Fault limits.
+        Limits beyond which the new release counts as faulty.
     """
 
     move_id: str
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class BundleSource:
-    """The whole file."""
+    """Content of a source file."""
 
     services: tuple[Service, ...]
     routes: tuple[Route, ...]
@@ -58,12 +58,12 @@
 
 
 def parse_source(value: Any, source: str) -> BundleSource:
-    """Check a decoded file.
+    """Convert and check a decoded source file.
 
     Raises
     ------
     BundleError
-        A value is missing or not allowed; names the key path.
+        A value is missing or not allowed; the message contains its key path.
     """
     try:
         return convert(value, BundleSource)
@@ -74,31 +74,35 @@
 def build_content(
     source: BundleSource, now_ms: int, complete_within_ms: int | None = None
 ) -> BundleContent:
-    """Fix the times of the moves and return the content to sign off.
+    """Return the content to sign, with absolute times for the moves.
 
     Parameters
     ----------
     source : BundleSource
-        Checked file.
+        Checked source file.
     now_ms : int
         Wall-clock time of the roll in milliseconds since the epoch.
     complete_within_ms : int, optional
         Replaces the time limit of every move.
     """
-    moves = tuple(_fix(move, now_ms, complete_within_ms) for move in source.moves)
+    moves = tuple(
+        _with_absolute_times(move, now_ms, complete_within_ms) for move in source.moves
+    )
     return BundleContent(source.services, source.routes, moves)
 
 
-def _fix(move: MoveSource, now_ms: int, complete_within_ms: int | None) -> Move:
+def _with_absolute_times(
+    move: MoveSource, now_ms: int, complete_within_ms: int | None
+) -> Move:
     start_ms = now_ms + move.start_after_ms
-    allowed_ms = complete_within_ms or move.complete_within_ms
+    time_limit_ms = complete_within_ms or move.complete_within_ms
     return Move(
         move.move_id,
         move.service,
         move.old_release,
         move.new_release,
         start_ms,
-        start_ms + allowed_ms,
+        start_ms + time_limit_ms,
         move.steps,
         move.watch_ms,
         move.thresholds,
--- a/marigoldchute/bundle/succession.py
+++ b/marigoldchute/bundle/succession.py
@@ -1,4 +1,4 @@
-"""Checks of a bundle against the one that it follows."""
+"""Checks of a bundle against its predecessor."""
 
 from __future__ import annotations
 
@@ -16,104 +16,112 @@
 
 
 def check_successor(
-    previous: BundleContent, following: BundleContent, verdicts: Mapping[str, str]
+    previous: BundleContent, successor: BundleContent, verdicts: Mapping[str, str]
 ) -> None:
-    """Check that a bundle neither upsets a move nor sends traffic back.
+    """Check that a bundle changes no undecided move and reverts no verdict.
 
-    A move without a verdict stays as it is. When a decided move goes, its service keeps
-    the release that the verdict gave it. No service changes its release without a move,
-    and a new move starts from the release in force.
+    A move without a verdict must remain unchanged. When a decided move is removed, its
+    service must keep the release that follows from the verdict. No service changes its
+    release without a move, and a new move must start from the release in force.
 
     Parameters
     ----------
     previous : BundleContent
         Bundle in force.
-    following : BundleContent
-        Validated bundle that is to follow it.
+    successor : BundleContent
+        Validated bundle that is to replace it.
     verdicts : mapping of str to str
-        ``done`` or ``taken back`` by move, for every decided move of both bundles.
+        ``done`` or ``taken back`` by move id, for every decided move of both bundles.
 
     Raises
     ------
     MoveError
-        The bundle must not follow; names the move or the service.
+        The bundle is refused; the message contains the move or the service.
     """
     for move in previous.moves:
-        _check_kept(move, previous, following, verdicts.get(move.move_id))
-    known = {move.move_id for move in previous.moves}
-    for move in following.moves:
-        if move.move_id not in known and move.move_id in verdicts:
+        _check_move_kept(move, previous, successor, verdicts.get(move.move_id))
+    previous_move_ids = {move.move_id for move in previous.moves}
+    for move in successor.moves:
+        if move.move_id not in previous_move_ids and move.move_id in verdicts:
             raise MoveError(
-                f"move {move.move_id!r} was {verdicts[move.move_id]} before; "
-                "a new move needs a new move_id",
+                f"move {move.move_id!r} already has the verdict "
+                f"{verdicts[move.move_id]}; a new move needs a new move_id",
                 ResultCode.MOVE_ALREADY_DECIDED,
             )
-    settled = settled_releases(previous, verdicts)
-    for service in following.services:
-        if service.name in settled:
-            _check_release(service.name, settled[service.name], known, following)
+    releases = effective_releases(previous, verdicts)
+    for service in successor.services:
+        if service.name in releases:
+            _check_release(
+                service.name, releases[service.name], previous_move_ids, successor
+            )
 
 
-def settled_releases(
+def effective_releases(
     content: BundleContent, verdicts: Mapping[str, str]
 ) -> dict[str, str]:
-    """Return the release that takes each service's traffic; none while undecided."""
+    """Return the release that serves each service without an undecided move."""
     releases = {service.name: service.release for service in content.services}
     for move in content.moves:
         verdict = verdicts.get(move.move_id)
         if verdict is None:
             releases.pop(move.service, None)
         else:
-            done = verdict == DONE
-            releases[move.service] = move.new_release if done else move.old_release
+            is_done = verdict == DONE
+            releases[move.service] = move.new_release if is_done else move.old_release
     return releases
 
 
-def _check_kept(
+def _check_move_kept(
     move: Move,
     previous: BundleContent,
-    following: BundleContent,
+    successor: BundleContent,
     verdict: str | None,
 ) -> None:
-    kept = next((m for m in following.moves if m.move_id == move.move_id), None)
+    successor_move = next(
+        (m for m in successor.moves if m.move_id == move.move_id), None
+    )
     if verdict is not None:
-        if kept is not None and kept != move:
+        if successor_move is not None and successor_move != move:
             raise MoveError(
-                f"move {move.move_id!r} is {verdict} and can't be altered",
+                f"move {move.move_id!r} has the verdict {verdict} and cannot "
+                "be changed",
                 ResultCode.MOVE_ALREADY_DECIDED,
             )
         return
-    same_release = _release_of(previous, move.service) == _release_of(
-        following, move.service
+    same_release = _find_release(previous, move.service) == _find_release(
+        successor, move.service
     )
-    if kept != move or not same_release:
-        what = "missing" if kept is None else "altered"
+    if successor_move != move or not same_release:
+        change = "missing" if successor_move is None else "altered"
         raise MoveError(
-            f"move {move.move_id!r} has no verdict yet and is {what}; "
-            "cancel it first or leave it and its service's release as they are",
+            f"move {move.move_id!r} has no verdict yet and is {change} in the new "
+            "bundle; cancel it first, or keep it and the release of its service",
             ResultCode.MOVE_UNDECIDED_CHANGED,
         )
 
 
 def _check_release(
-    name: str, settled: str, known: set[str], following: BundleContent
+    name: str,
+    current_release: str,
+    previous_move_ids: set[str],
+    successor: BundleContent,
 ) -> None:
-    move = next((m for m in following.moves if m.service == name), None)
+    move = next((m for m in successor.moves if m.service == name), None)
     if move is None:
-        release = _release_of(following, name)
-        if release != settled:
+        release = _find_release(successor, name)
+        if release != current_release:
             raise MoveError(
-                f"service {name!r} has release {settled!r} in force and would go to "
-                f"{release!r} without a move",
+                f"service {name!r} has release {current_release!r} in force and "
+                f"would change to {release!r} without a move",
                 ResultCode.MOVE_OUTCOME_CONTRADICTED,
             )
-    elif move.move_id not in known and move.old_release != settled:
+    elif move.move_id not in previous_move_ids and move.old_release != current_release:
         raise MoveError(
             f"move {move.move_id!r} starts from {move.old_release!r}, but {name!r} has "
-            f"release {settled!r} in force",
+            f"release {current_release!r} in force",
             ResultCode.MOVE_OUTCOME_CONTRADICTED,
         )
 
 
-def _release_of(content: BundleContent, name: str) -> str | None:
+def _find_release(content: BundleContent, name: str) -> str | None:
     return next((s.release for s in content.services if s.name == name), None)
--- a/marigoldchute/bundle/validation.py
+++ b/marigoldchute/bundle/validation.py
@@ -1,4 +1,4 @@
-"""Checks of a whole bundle before it may come into force."""
+"""Validation of a whole bundle before it comes into force."""
 
 from __future__ import annotations
 
@@ -21,24 +21,25 @@
 
 
 def validate_content(content: BundleContent, names_releases: bool = True) -> None:
-    """Check values, names and references over a whole bundle.
+    """Validate the values, names and references of a whole bundle.
 
-    Messages name the key path of what is wrong, such as ``$.routes[3].service``.
+    Error messages contain the key path of the invalid value, such as
+    ``$.routes[3].service``.
 
     Parameters
     ----------
     content : BundleContent
-        What to check.
+        Content to validate.
     names_releases : bool
-        Whether each service must name the release that takes its traffic.
+        Whether each service must name the release that receives its traffic.
 
     Raises
     ------
     BundleError
-        A value is out of range, a name stands twice, a reference points at nothing
-        or services depend on one another in a cycle.
+        A value is out of range, a name is used twice, a reference has no target, or
+        the dependencies of services form a cycle.
     MoveError
-        A move is not well formed or overlaps another.
+        A move is not valid or overlaps another one.
     """
     limits.check_count("$.services", len(content.services), limits.MAX_SERVICES)
     limits.check_count("$.routes", len(content.routes), limits.MAX_ROUTES)
@@ -81,7 +82,7 @@
         limits.check_range(f"{path}.parts[{index}].weight", part.weight, 0.0, 1e6)
     if route.parts and not any(part.weight > 0 for part in route.parts):
         raise BundleError(
-            f"{path}.parts: some weight must be above 0",
+            f"{path}.parts: at least one weight must be above 0",
             ResultCode.BUNDLE_VALUE_OUT_OF_RANGE,
         )
     if route.sticky_header:
@@ -107,8 +108,10 @@
         limits.check_range(f"{path}.{name}", getattr(thresholds, name), 0.0, 1.0)
     ratio = thresholds.slow_ratio
     limits.check_range(f"{path}.slow_ratio", ratio, 1.0, limits.MAX_SLOW_RATIO)
-    alarm = thresholds.false_alarm
-    limits.check_range(f"{path}.false_alarm", alarm, 1e-12, limits.MAX_FALSE_ALARM)
+    false_alarm = thresholds.false_alarm
+    limits.check_range(
+        f"{path}.false_alarm", false_alarm, 1e-12, limits.MAX_FALSE_ALARM
+    )
 
 
 def _check_steps(path: str, move: Move) -> None:
@@ -120,14 +123,14 @@
     shares = [step.share for step in move.steps]
     if not shares or shares[-1] != 1.0 or shares != sorted(set(shares)):
         raise MoveError(
-            f"{path}.steps: shares must rise and end at 1, not {shares} "
+            f"{path}.steps: shares must increase and end at 1, not {shares} "
             f"(move {move.move_id!r})"
         )
     needed_ms = sum(step.hold_ms for step in move.steps[:-1]) + move.watch_ms
     allowed_ms = move.deadline_ms - move.start_ms
     if needed_ms >= allowed_ms:
         raise MoveError(
-            f"{path}.deadline_ms: steps and watch of {move.move_id!r} need "
+            f"{path}.deadline_ms: steps and watch time of {move.move_id!r} need "
             f"{needed_ms} ms, the deadline leaves {allowed_ms} ms",
             ResultCode.MOVE_DEADLINE_TOO_SHORT,
         )
@@ -139,24 +142,25 @@
     prefixes = (route.host + route.path_prefix for route in content.routes)
     _check_unique("$.routes", "path_prefix", prefixes)
     _check_unique("$.moves", "move_id", (m.move_id for m in content.moves))
-    moving: dict[str, int] = {}
+    first_move_indexes: dict[str, int] = {}
     for index, move in enumerate(content.moves):
-        first = moving.setdefault(move.service, index)
-        if first != index:
+        first_index = first_move_indexes.setdefault(move.service, index)
+        if first_index != index:
             raise MoveError(
                 f"$.moves[{index}].service: {move.service!r} is moved by "
-                f"$.moves[{first}] already",
+                f"$.moves[{first_index}] already",
                 ResultCode.MOVE_OVERLAP,
             )
 
 
 def _check_unique(path: str, key: str, values: Iterable[str]) -> None:
-    seen: dict[str, int] = {}
+    first_indexes: dict[str, int] = {}
     for index, value in enumerate(values):
-        first = seen.setdefault(value, index)
-        if first != index:
+        first_index = first_indexes.setdefault(value, index)
+        if first_index != index:
             raise BundleError(
-                f"{path}[{index}].{key}: {value!r} stands in {path}[{first}] already",
+                f"{path}[{index}].{key}: {value!r} is used in "
+                f"{path}[{first_index}] already",
                 ResultCode.BUNDLE_DUPLICATE_NAME,
             )
 
@@ -164,13 +168,13 @@
 def _check_references(content: BundleContent) -> None:
     names = {service.name for service in content.services}
     for index, service in enumerate(content.services):
-        for place, target in enumerate(service.depends_on):
-            path = f"$.services[{index}].depends_on[{place}]"
+        for position, target in enumerate(service.depends_on):
+            path = f"$.services[{index}].depends_on[{position}]"
             _check_reference(path, target, names)
     for index, route in enumerate(content.routes):
         _check_reference(f"$.routes[{index}].service", route.service, names)
-        for place, part in enumerate(route.parts):
-            path = f"$.routes[{index}].parts[{place}].service"
+        for position, part in enumerate(route.parts):
+            path = f"$.routes[{index}].parts[{position}].service"
             _check_reference(path, part.service, names)
     for index, move in enumerate(content.moves):
         _check_reference(f"$.moves[{index}].service", move.service, names)
@@ -191,7 +195,7 @@
     except graphlib.CycleError as exc:
         cycle = " -> ".join(reversed(exc.args[1]))
         raise BundleError(
-            f"$.services: depend on one another in a cycle: {cycle}",
+            f"$.services: dependencies form a cycle: {cycle}",
             ResultCode.BUNDLE_REFERENCE_CYCLE,
         ) from exc
 
@@ -202,6 +206,6 @@
         release = releases[move.service]
         if release not in (move.old_release, move.new_release):
             raise MoveError(
-                f"$.moves[{index}]: goes from {move.old_release!r} to "
+                f"$.moves[{index}]: moves from {move.old_release!r} to "
                 f"{move.new_release!r}, but {move.service!r} has release {release!r}"
             )
--- a/marigoldchute/distribution/rollout.py
+++ b/marigoldchute/distribution/rollout.py
@@ -99,7 +99,7 @@
             while not self._follows_directly(version):
                 if self._replicator.newest_version >= version:
                     break
-                await self._in_force.wait_for(self._in_force.version + 1)
+                await self._in_force.wait_for_version(self._in_force.version + 1)
         newest = self._replicator.newest_manifest
         if newest is not None and newest.version >= version:
             raise _taken(version, newest)
--- a/tests/test_bundle/bundles.py
+++ b/tests/test_bundle/bundles.py
@@ -1,4 +1,4 @@
-"""Bundles for the tests and the strategies that draw them."""
+"""Bundle contents for tests, and the Hypothesis strategy that generates them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 STEPS = (Step(0.1, 100), Step(1.0, 0))
 
 
-def move(move_id: str = "turnos-r2", **changes: object) -> Move:
+def make_move(move_id: str = "turnos-r2", **changes: object) -> Move:
     values = {
         "service": "turnos",
         "old_release": "r1",
@@ -21,7 +21,7 @@
     return Move(move_id, **(values | changes))  # type: ignore[arg-type]
 
 
-def content(release: str = "r1", *moves: Move) -> BundleContent:
+def make_content(release: str = "r1", *moves: Move) -> BundleContent:
     return BundleContent(
         (Service("turnos", release), Service("reservas", "r1")),
         (
@@ -33,8 +33,8 @@
 
 
 @st.composite
-def contents(draw: st.DrawFn) -> BundleContent:
-    """Draw valid contents of a few services and many routes."""
+def bundle_contents(draw: st.DrawFn) -> BundleContent:
+    """Generate valid contents with up to 5 services and 40 routes."""
     count = draw(st.integers(1, 5))
     services = tuple(
         Service(
@@ -49,7 +49,7 @@
         for i in range(draw(st.integers(0, 40)))
     )
     moves = tuple(
-        move(f"m{i}", service=f"s{i}") for i in range(count) if draw(st.booleans())
+        make_move(f"m{i}", service=f"s{i}") for i in range(count) if draw(st.booleans())
     )
     return BundleContent(
         tuple(draw(st.permutations(services))),
--- a/tests/test_bundle/test_inforce.py
+++ b/tests/test_bundle/test_inforce.py
@@ -1,4 +1,4 @@
-"""The bundle in force."""
+"""Replacement of the bundle in force by higher versions only."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 class InForceTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=100)
     @given(st.lists(st.integers(1, 20), max_size=30))
-    def test_version_never_falls(self, versions: list[int]) -> None:
+    def test_version_in_force_never_decreases(self, versions: list[int]) -> None:
         in_force = InForce()
-        seen = [0]
-        in_force.on_swap(lambda bundle: seen.append(bundle.version))
+        versions_in_force = [0]
+        in_force.on_swap(lambda bundle: versions_in_force.append(bundle.version))
         for version in versions:
             in_force.swap(_bundle(version))
-        self.assertEqual(seen, sorted(set(seen)))
+        self.assertEqual(versions_in_force, sorted(set(versions_in_force)))
         self.assertEqual(in_force.version, max(versions, default=0))
--- a/tests/test_bundle/test_signoff.py
+++ b/tests/test_bundle/test_signoff.py
@@ -1,4 +1,4 @@
-"""Bundle files of operators, from text to a signed order."""
+"""Bundle and key files: parsing, checking and signing."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class ContentTest(unittest.TestCase):
-    def test_examples_of_both_deployments_are_valid(self) -> None:
+    def test_example_bundles_are_valid(self) -> None:
         moves = {"foundation": "turnos-2026.12", "hanbit": "certification-v19"}
         for name, move_id in moves.items():
             with self.subTest(name=name):
@@ -55,19 +55,21 @@
                 self.assertGreater(content.moves[0].deadline_ms, NOW_MS)
                 self.assertEqual(sum(s.internal for s in content.services), 2)
 
-    def test_built_file_keeps_its_times(self) -> None:
+    def test_times_of_a_built_file_do_not_depend_on_the_clock(self) -> None:
         path = str(EXAMPLES / "hanbit" / "bundle.json")
         built = content_of_file(load_file(path), path, NOW_MS)
-        again = content_of_file(to_json(BuiltBundle(built)), "built.json", NOW_MS * 2)
-        self.assertEqual(again, built)
+        reloaded = content_of_file(
+            to_json(BuiltBundle(built)), "built.json", NOW_MS * 2
+        )
+        self.assertEqual(reloaded, built)
 
-    def test_time_limit_can_be_replaced(self) -> None:
+    def test_time_limit_argument_replaces_the_one_of_the_file(self) -> None:
         path = str(EXAMPLES / "foundation" / "bundle.json")
         content = content_of_file(load_file(path), path, NOW_MS, 90_000)
         move = content.moves[0]
         self.assertEqual(move.deadline_ms - move.start_ms, 90_000)
 
-    def test_unknown_key_is_refused_with_the_nearest_name(self) -> None:
+    def test_unknown_key_is_refused_with_a_suggestion(self) -> None:
         route = SOURCE["routes"][0] | {"path_prefx": "/x"}
         with self.assertRaises(BundleError) as caught:
             content_of_file(SOURCE | {"routes": [route]}, "b.json", NOW_MS)
@@ -85,7 +87,9 @@
 
 
 class SignTest(unittest.TestCase):
-    def test_signed_order_is_accepted_with_its_key_and_survives_a_file(self) -> None:
+    def test_signed_bundle_is_verified_with_its_key_and_equal_after_reloading(
+        self,
+    ) -> None:
         key = new_key()
         order = sign_content(
             content_of_file(SOURCE, "b.json", NOW_MS), 7, key, "an operator"
@@ -97,26 +101,26 @@
         SignatureVerifier([TrustedKey(key.key_id, key.public_key)]).verify(manifest)
         self.assertEqual((manifest.version, manifest.author), (7, "an operator"))
 
-    def test_damaged_signed_file_is_refused(self) -> None:
+    def test_malformed_signed_file_is_refused(self) -> None:
         for value in ({"manifest": 1}, {"manifest": "AA=="}, {"manifest": "?"}):
             with self.subTest(value=value), self.assertRaises(BundleError):
                 parse_signed(value, "signed.json")
 
 
 class KeyFileTest(unittest.TestCase):
-    def test_key_survives_a_file(self) -> None:
+    def test_key_file_is_equal_after_reloading(self) -> None:
         key = new_key()
         self.assertEqual(parse_key_file(to_json(key), "key.json"), key)
 
-    def test_halves_of_different_keys_are_refused(self) -> None:
-        mixed = to_json(new_key()) | {"public_key": new_key().public_key}
+    def test_mismatched_key_pair_is_refused(self) -> None:
+        mismatched = to_json(new_key()) | {"public_key": new_key().public_key}
         with self.assertRaises(SettingsError) as caught:
-            parse_key_file(mixed, "key.json")
+            parse_key_file(mismatched, "key.json")
         self.assertIn("does not belong", caught.exception.message)
 
     def test_key_that_is_not_32_bytes_is_refused(self) -> None:
         for text in ("AAAA", "not base64", ""):
-            bad = to_json(new_key()) | {"private_key": text}
+            invalid_key = to_json(new_key()) | {"private_key": text}
             with self.subTest(text=text), self.assertRaises(SettingsError) as caught:
-                parse_key_file(bad, "key.json")
+                parse_key_file(invalid_key, "key.json")
             self.assertIn("key.json: $.private_key", caught.exception.message)
--- a/tests/test_bundle/test_validation.py
+++ b/tests/test_bundle/test_validation.py
@@ -1,4 +1,4 @@
-"""Validation names the key path and the code of what is wrong."""
+"""Validation of bundles: result code and key path of each error."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 from marigoldchute.bundle.validation import validate_content
 from marigoldchute.errors import MarigoldchuteError, ResultCode
-from tests.test_bundle.bundles import content, contents, move
+from tests.test_bundle.bundles import bundle_contents, make_content, make_move
 
 NAN = float("nan")
 
@@ -41,11 +41,11 @@
         self.assertIn(path, caught.exception.message)
 
     @settings(derandomize=True, max_examples=50, deadline=None)
-    @given(contents())
-    def test_valid_content_passes(self, bundle: BundleContent) -> None:
+    @given(bundle_contents())
+    def test_valid_content_is_accepted(self, bundle: BundleContent) -> None:
         validate_content(bundle)
 
-    def test_values_out_of_range(self) -> None:
+    def test_values_out_of_range_are_refused(self) -> None:
         cases: list[tuple[BundleContent, str]] = [
             (_with_route(path_prefix="turnos"), "$.routes[0].path_prefix"),
             (_with_route(path_prefix=""), "$.routes[0].path_prefix"),
@@ -66,23 +66,25 @@
             (_with_route(sticky_header="x y"), "$.routes[0].sticky_header"),
             (_with_services(Service("../x", "r1")), "$.services[0].name"),
             (_with_services(Service("a", "r" * 64)), "$.services[0].release"),
-            (content("r1", move("a/b")), "$.moves[0].move_id"),
-            (content("r1", move(watch_ms=-1)), "$.moves[0].watch_ms"),
-            (content("r1", move(start_ms=-1)), "$.moves[0].start_ms"),
+            (make_content("r1", make_move("a/b")), "$.moves[0].move_id"),
+            (make_content("r1", make_move(watch_ms=-1)), "$.moves[0].watch_ms"),
+            (make_content("r1", make_move(start_ms=-1)), "$.moves[0].start_ms"),
             (
-                content("r1", move(steps=(Step(NAN, 0), Step(1.0, 0)))),
+                make_content("r1", make_move(steps=(Step(NAN, 0), Step(1.0, 0)))),
                 "$.moves[0].steps[0].share",
             ),
             (
-                content("r1", move(steps=(Step(0.1, -1), Step(1.0, 0)))),
+                make_content("r1", make_move(steps=(Step(0.1, -1), Step(1.0, 0)))),
                 "$.moves[0].steps[0].hold_ms",
             ),
             (
-                content("r1", move(thresholds=Thresholds(max_error_increase=NAN))),
+                make_content(
+                    "r1", make_move(thresholds=Thresholds(max_error_increase=NAN))
+                ),
                 "$.moves[0].thresholds.max_error_increase",
             ),
             (
-                content("r1", move(thresholds=Thresholds(false_alarm=0.0))),
+                make_content("r1", make_move(thresholds=Thresholds(false_alarm=0.0))),
                 "$.moves[0].thresholds.false_alarm",
             ),
         ]
@@ -90,7 +92,7 @@
             with self.subTest(path=path):
                 self.assert_refused(bundle, ResultCode.BUNDLE_VALUE_OUT_OF_RANGE, path)
 
-    def test_duplicates(self) -> None:
+    def test_duplicate_names_are_refused(self) -> None:
         turnos = Service("turnos", "r1")
         route = Route("a", "/a", "turnos")
         cases = [
@@ -105,15 +107,15 @@
             with self.subTest(path=path):
                 self.assert_refused(bundle, ResultCode.BUNDLE_DUPLICATE_NAME, path)
 
-    def test_references(self) -> None:
+    def test_missing_references_are_refused(self) -> None:
         code = ResultCode.BUNDLE_REFERENCE_MISSING
         self.assert_refused(_with_route(service="x"), code, "$.routes[0].service")
-        bundle = content("r1", move(service="x"))
+        bundle = make_content("r1", make_move(service="x"))
         self.assert_refused(bundle, code, "$.moves[0].service")
         bundle = _with_services(Service("a", "r1", depends_on=("b",)))
         self.assert_refused(bundle, code, "$.services[0].depends_on[0]")
 
-    def test_cycle_is_named(self) -> None:
+    def test_dependency_cycle_is_refused_with_its_services(self) -> None:
         bundle = _with_services(
             Service("a", "r1", depends_on=("b",)),
             Service("b", "r1", depends_on=("c",)),
@@ -121,24 +123,24 @@
         )
         self.assert_refused(bundle, ResultCode.BUNDLE_REFERENCE_CYCLE, " -> ")
 
-    def test_counts(self) -> None:
+    def test_too_many_items_are_refused(self) -> None:
         services = tuple(Service(f"s{i}", "r1") for i in range(1001))
         code = ResultCode.BUNDLE_TOO_LARGE
         self.assert_refused(_with_services(*services), code, "$.services")
         steps = tuple(Step((i + 1) / 60, 0) for i in range(60))
-        bundle = content("r1", move(steps=steps))
+        bundle = make_content("r1", make_move(steps=steps))
         self.assert_refused(bundle, code, "$.moves[0].steps")
 
-    def test_moves(self) -> None:
+    def test_invalid_moves_are_refused(self) -> None:
         code = ResultCode.MOVE_INVALID
-        bundle = content("r1", move(new_release="r1"))
+        bundle = make_content("r1", make_move(new_release="r1"))
         self.assert_refused(bundle, code, "$.moves[0].new_release")
-        bundle = content("r1", move(steps=(Step(0.5, 0),)))
+        bundle = make_content("r1", make_move(steps=(Step(0.5, 0),)))
         self.assert_refused(bundle, code, "$.moves[0].steps")
-        bundle = content("r7", move())
+        bundle = make_content("r7", make_move())
         self.assert_refused(bundle, code, "$.moves[0]")
-        bundle = content("r1", move("a"), move("b"))
+        bundle = make_content("r1", make_move("a"), make_move("b"))
         self.assert_refused(bundle, ResultCode.MOVE_OVERLAP, "$.moves[1].service")
-        bundle = content("r1", move(deadline_ms=1_500))
+        bundle = make_content("r1", make_move(deadline_ms=1_500))
         code = ResultCode.MOVE_DEADLINE_TOO_SHORT
         self.assert_refused(bundle, code, "$.moves[0].deadline_ms")
--- a/tests/test_distribution/test_chain.py
+++ b/tests/test_distribution/test_chain.py
@@ -23,7 +23,7 @@
 from marigoldchute.errors import MarigoldchuteError, ResultCode
 from marigoldchute.moves.driver import verdict_key
 from tests.support.fake_store import FakeStore
-from tests.test_bundle.bundles import content, move
+from tests.test_bundle.bundles import make_content, make_move
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -45,7 +45,7 @@
         verifier = SignatureVerifier([TrustedKey("ops-1", public_key_of(KEY))])
         parts: list[Any] = [store, verifier, self.in_force, self, _accept_moves]
         self.rollout = Rollout(*parts)
-        self._content = content()
+        self._content = make_content()
 
     @property
     def newest_version(self) -> int:
@@ -72,7 +72,7 @@
 
 
 def _bundle(version: int) -> BundleContent:
-    bundle = content()
+    bundle = make_content()
     route = Route("extra", f"/v{version}", "turnos")
     return dataclasses.replace(bundle, routes=(*bundle.routes, route))
 
@@ -96,7 +96,7 @@
     def test_malformed_verdict_is_a_numbered_error(self) -> None:
         store = FakeStore()
         node = _Node(store)
-        moving = content("r1", move())
+        moving = make_content("r1", make_move())
         self.assertEqual(node.roll(1, moving), ResultCode.OK)
         store.write(verdict_key("turnos-r2"), b"{")
         self.assertEqual(node.roll(2, moving), ResultCode.STORE_ANSWER_MALFORMED)
--- a/tests/test_distribution/test_partitions.py
+++ b/tests/test_distribution/test_partitions.py
@@ -10,10 +10,10 @@
 from marigoldchute.standins.faultproxy import Action, Rule
 from marigoldchute.standins.loopback import PEER_PORT
 from tests.support.rolls import TEST_LIMIT_S, WAIT_LIMIT_S, RollTestCase
-from tests.test_bundle.bundles import content
+from tests.test_bundle.bundles import make_content
 
 AHEAD_DELAY_MS = 120.0
-FIRST = content("r1")
+FIRST = make_content("r1")
 SECOND = dataclasses.replace(FIRST, routes=FIRST.routes[:1])
 
 
--- a/tests/test_distribution/test_replicator.py
+++ b/tests/test_distribution/test_replicator.py
@@ -31,7 +31,7 @@
 from marigoldchute.objectstore.api import StoredObject, WatchEvent
 from marigoldchute.overlay.records import Record, RecordKind, RecordTable
 from tests.support.invariants import IN_FORCE, find_violations
-from tests.test_bundle.bundles import content
+from tests.test_bundle.bundles import make_content
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -113,7 +113,7 @@
 
 
 def _content(version: int, kind: str) -> BundleContent:
-    bundle = content("r1")
+    bundle = make_content("r1")
     service = "lost" if kind == "invalid" else "turnos"
     extra = Route(f"v{version}", f"/v{version}", service)
     return dataclasses.replace(bundle, routes=(*bundle.routes, extra))
--- a/tests/test_distribution/test_scale_out.py
+++ b/tests/test_distribution/test_scale_out.py
@@ -8,7 +8,7 @@
 
 from marigoldchute.bundle.model import Step
 from tests.support.rolls import START_LIMIT_S, TEST_LIMIT_S, WAIT_LIMIT_S, RollTestCase
-from tests.test_bundle.bundles import content, move
+from tests.test_bundle.bundles import make_content, make_move
 
 TRIAL_SHARE = 0.05
 LONG_MS = 600_000
@@ -43,7 +43,7 @@
                 ),
                 START_LIMIT_S,
             )
-        await self.accept("cartago-norte-1", 1, content("r1"))
+        await self.accept("cartago-norte-1", 1, make_content("r1"))
         await self.wait_all(1, early)
         await self.accept("cartago-norte-1", 2, self._moving())
         await self.wait_all(2, early)
@@ -62,9 +62,9 @@
 
     def _moving(self):  # type: ignore[no-untyped-def]
         now_ms = time.time_ns() // 1_000_000
-        return content(
+        return make_content(
             "r1",
-            move(
+            make_move(
                 start_ms=now_ms,
                 deadline_ms=now_ms + 3 * LONG_MS,
                 steps=STEPS,
--- a/tests/test_distribution/test_store_faults.py
+++ b/tests/test_distribution/test_store_faults.py
@@ -17,9 +17,9 @@
 from marigoldchute.standins.loopback import STORE_PORT
 from marigoldchute.standins.store import READS_PER_S, StoreFaults
 from tests.support.rolls import TEST_LIMIT_S, WAIT_LIMIT_S, RollTestCase
-from tests.test_bundle.bundles import content
+from tests.test_bundle.bundles import make_content
 
-FIRST = content("r1")
+FIRST = make_content("r1")
 SECOND = dataclasses.replace(FIRST, routes=FIRST.routes[:1])
 
 
