--- a/marigoldchute/membership/announcement.py
+++ b/marigoldchute/membership/announcement.py
@@ -14,7 +14,7 @@
     from marigoldchute.membership.service import Membership
 
 ANNOUNCE_TARGET = b"/marigoldchute/announce"
-LOCAL_ADDRESS = "127.0.0.1"
+LOOPBACK_ADDRESS = "127.0.0.1"
 MAX_SLOTS = 10_000
 MAX_CONNECTIONS = 100_000
 MAX_COLD_MS = 3_600_000
@@ -24,24 +24,25 @@
 
 @dataclasses.dataclass(frozen=True)
 class Announcement:
-    """What a backend server says of itself, at least once a second.
+    """Report that a backend server sends to its node at least once a second.
 
     Parameters
     ----------
     service, release : str
-        What it serves.
+        Service and release that the server provides.
     port : int
         TCP port on the VM's address.
     slots : int
-        Requests that it can run at once.
+        Maximum number of concurrent requests.
     connections : int
-        Connections that it accepts.
+        Maximum number of connections.
     draining : bool
-        Whether it takes no new requests.
+        Whether the server accepts no new requests.
     cold_ms : int
-        Time left until its cold start ends.
+        Time left until its cold start ends, in milliseconds.
     instance : str
-        Chosen anew at each start, so that a restart on the same port is told apart.
+        Id that changes with each start, which distinguishes a restarted server from
+        the previous one on the same port.
     """
 
     service: Label
@@ -55,7 +56,7 @@
 
 
 class AnnouncementError(MarigoldchuteError):
-    """An announcement that cannot be taken."""
+    """An announcement is malformed or was sent by another VM."""
 
     code = ResultCode.ANNOUNCEMENT_INVALID
 
@@ -63,7 +64,7 @@
 def take_announcement(
     membership: Membership, body: bytes, sender: str, now_ms: int, now: float
 ) -> None:
-    """Decode an announcement and hand it to membership.
+    """Decode an announcement and register its backend server with the membership.
 
     Parameters
     ----------
@@ -72,7 +73,7 @@
     body : bytes
         JSON of an ``Announcement``.
     sender : str
-        IP number from which it came; only the VM's own is accepted.
+        IP address of the sender; only addresses of this VM are accepted.
     now_ms : int
         Wall-clock time in milliseconds since the epoch.
     now : float
@@ -81,26 +82,26 @@
     Raises
     ------
     AnnouncementError
-        The body is not an announcement, or it came from another VM.
+        The body is not an announcement, or another VM sent it.
     """
-    if sender not in (membership.own_address, LOCAL_ADDRESS):
+    if sender not in (membership.own_address, LOOPBACK_ADDRESS):
         raise AnnouncementError(
             f"announcement came from {sender}, not from this VM",
             ResultCode.ANNOUNCEMENT_FOREIGN,
         )
     try:
-        said = msgspec.json.decode(body, type=Announcement)
+        announcement = msgspec.json.decode(body, type=Announcement)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise AnnouncementError(f"announcement is malformed: {exc}") from exc
-    instance = f"/{said.instance}" if said.instance else ""
+    instance_suffix = f"/{announcement.instance}" if announcement.instance else ""
     server = BackendServer(
-        server_id=f"{membership.local.name}/{said.port}{instance}",
-        service=said.service,
-        release=said.release,
-        port=said.port,
-        slots=said.slots,
-        connections=said.connections,
-        draining=said.draining,
-        warm_at_ms=now_ms + said.cold_ms if said.cold_ms else 0,
+        server_id=f"{membership.local.name}/{announcement.port}{instance_suffix}",
+        service=announcement.service,
+        release=announcement.release,
+        port=announcement.port,
+        slots=announcement.slots,
+        connections=announcement.connections,
+        draining=announcement.draining,
+        warm_at_ms=now_ms + announcement.cold_ms if announcement.cold_ms else 0,
     )
-    membership.announce(server, now)
+    membership.register_server(server, now)
--- a/marigoldchute/membership/claims.py
+++ b/marigoldchute/membership/claims.py
@@ -1,10 +1,4 @@
-"""Member records and the order among them.
-
-The rank of a member record is its incarnation, then an order in which the member's own
-sequence counts ``STEP``: a claim of unreachability stands just above the sequence that
-it is about, and below the member's next one. Nothing of an incarnation ranks above its
-end.
-"""
+"""Member records and their ranks."""
 
 from __future__ import annotations
 
@@ -15,37 +9,41 @@
 from marigoldchute.membership.model import Member, MemberState
 from marigoldchute.overlay.records import Record, RecordKind
 
-STEP = 2
-GONE_ORDER = 2**62
+# A member record is ranked by incarnation, then by a minor rank. The member's own
+# records use multiples of SEQUENCE_STEP, so that a claim of unreachability ranks above
+# the sequence that it is about and below the member's next one. The record that ends
+# an incarnation ranks above every other record of that incarnation.
+SEQUENCE_STEP = 2
+GONE_MINOR_RANK = 2**62
 
 
 def own_record(member: Member) -> Record:
-    """Return the record with which a member states itself."""
-    return _record(member, STEP * member.sequence)
+    """Return the record that a member publishes about itself."""
+    return _member_record(member, SEQUENCE_STEP * member.sequence)
 
 
 def claim_record(member: Member, state: MemberState, now_ms: int) -> Record:
-    """Return the record that claims a member unreachable or gone.
+    """Return the record that claims that a member is unreachable or gone.
 
     Parameters
     ----------
     member : Member
-        Member as it was last known.
+        Latest known state of the member.
     state : MemberState
         ``UNREACHABLE`` or ``GONE``.
     now_ms : int
         Wall-clock time in milliseconds since the epoch.
     """
     if state is MemberState.GONE:
-        ended = dataclasses.replace(
+        gone_member = dataclasses.replace(
             member, state=MemberState.GONE, servers=(), gone_at_ms=now_ms
         )
-        return _record(ended, GONE_ORDER)
-    claimed = dataclasses.replace(member, state=MemberState.UNREACHABLE)
-    return _record(claimed, STEP * member.sequence + 1)
+        return _member_record(gone_member, GONE_MINOR_RANK)
+    unreachable_member = dataclasses.replace(member, state=MemberState.UNREACHABLE)
+    return _member_record(unreachable_member, SEQUENCE_STEP * member.sequence + 1)
 
 
-def _record(member: Member, order: int) -> Record:
+def _member_record(member: Member, minor_rank: int) -> Record:
     body = msgspec.msgpack.encode(member)
-    rank = (member.incarnation, order)
+    rank = (member.incarnation, minor_rank)
     return Record(RecordKind.MEMBER, member.name, rank, body)
--- a/marigoldchute/membership/contact.py
+++ b/marigoldchute/membership/contact.py
@@ -1,4 +1,4 @@
-"""Which members were heard, how long ago, and whether this node may serve."""
+"""Times of the latest contact with members, and the fencing derived from them."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-GONE_FACTOR = 1.5
-FRESH_FACTOR = 0.6
-MARK_FACTOR = 1.1
+GONE_AFTER_FACTOR = 1.5
+MAX_CONTACT_AGE_FACTOR = 0.6
+GONE_MARKER_WAIT_FACTOR = 1.1
 AGE_UNIT_S = 0.25
-MAX_AGE = 255
+MAX_AGE_UNITS = 255  # The largest value of a byte, which also means "no contact".
 NEVER = -math.inf
 
 
 @dataclasses.dataclass(frozen=True)
-class ContactTimes:
+class ContactTimeouts:
     """Time limits of contact, all derived from one.
 
     Parameters
@@ -35,229 +35,273 @@
 
     @property
     def gone_after_s(self) -> float:
-        """Silence after which a member may be declared gone."""
-        return GONE_FACTOR * self.fence_after_s
+        """Time without contact after which a member may be declared gone."""
+        return GONE_AFTER_FACTOR * self.fence_after_s
 
     @property
-    def fresh_s(self) -> float:
-        """Age up to which a majority counts as heard now."""
-        return FRESH_FACTOR * self.fence_after_s
+    def max_contact_age_s(self) -> float:
+        """Age up to which contact with a majority counts as current."""
+        return MAX_CONTACT_AGE_FACTOR * self.fence_after_s
 
     @property
-    def mark_wait_s(self) -> float:
-        """Wait between the mark in the store and the declaration."""
-        return MARK_FACTOR * self.fence_after_s
+    def gone_marker_wait_s(self) -> float:
+        """Time between writing a gone marker to the store and the declaration."""
+        return GONE_MARKER_WAIT_FACTOR * self.fence_after_s
 
 
-def elapsed_clock() -> float:
-    """Return seconds of a clock that runs on while the VM is suspended."""
+def boottime_clock() -> float:
+    """Return the seconds of a clock that also advances while the VM is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class CentreAge(msgspec.Struct, frozen=True, array_like=True):
-    """How long ago a majority of a data centre was heard, in ``AGE_UNIT_S``."""
+class DataCentreContactAge(msgspec.Struct, frozen=True, array_like=True):
+    """Age of the contact with a majority of a data centre, in ``AGE_UNIT_S``."""
 
     data_centre: str
     age: int
 
 
-class View(msgspec.Struct, frozen=True, array_like=True):
-    """What one member tells another of whom it hears.
+class ContactReport(msgspec.Struct, frozen=True, array_like=True):
+    """Contact times that one member reports to another.
 
     Parameters
     ----------
     data_centre : str
         Data centre of the sender.
-    roster : bytes
-        Digest of the names to which ``ages`` belong, in their order.
+    names_digest : bytes
+        Digest of the sorted member names to which ``ages`` refer.
     ages : bytes
-        One byte a member: time since it was heard, in ``AGE_UNIT_S``.
-    centres : list of CentreAge
-        Majorities heard.
-    settled : bool
-        Whether the sender, or one of its data centre that it heard, counts majorities.
+        One byte per member: age of the latest contact, in ``AGE_UNIT_S``.
+    majority_ages : list of DataCentreContactAge
+        Ages of the contact with the majorities of data centres.
+    majority_established : bool
+        Whether the sender, or a member of its data centre whose report it received,
+        has determined its voters.
     """
 
     data_centre: str
-    roster: bytes
+    names_digest: bytes
     ages: bytes
-    centres: list[CentreAge]
-    settled: bool
+    majority_ages: list[DataCentreContactAge]
+    majority_established: bool
 
 
-def roster_digest(names: Iterable[str]) -> bytes:
-    """Return a digest of names in order."""
+def digest_names(names: Iterable[str]) -> bytes:
+    """Return a digest of names in the given order."""
     return hashlib.blake2b("\n".join(names).encode(), digest_size=6).digest()
 
 
-class Contact:
-    """Times at which members and majorities of data centres were last heard.
+class ContactTracker:
+    """Times of the latest contact with members and with majorities of data centres.
 
-    Every time is a lower bound: what a peer tells counts from the moment at which it
-    was asked, so a late answer never looks fresh. A member serves while it hears,
-    directly or through others, a majority of any data centre's voters, or reads in
-    the store that it has not been declared gone.
+    Every time is a lower bound: the ages in a peer's report are counted back from the
+    time at which the report was requested, so a delayed response does not make a
+    contact look recent. A member serves while it is in contact, directly or through
+    others, with a majority of any data centre's voters, or while it reads in the store
+    that it has not been declared gone.
 
     Parameters
     ----------
     name, data_centre : str
-        This node and its place.
+        Name of this node and its data centre.
     now : float
-        Time of ``elapsed_clock``.
-    times : ContactTimes
+        Time of ``boottime_clock``.
+    timeouts : ContactTimeouts
         Time limits.
     """
 
     def __init__(
-        self, name: str, data_centre: str, now: float, times: ContactTimes
+        self, name: str, data_centre: str, now: float, timeouts: ContactTimeouts
     ) -> None:
-        self._times = times
+        self._timeouts = timeouts
         self._name = name
         self._data_centre = data_centre
         self._started_at = now
-        self._granted_at = now
-        self._heard: dict[str, float] = {}
-        self._noted: dict[str, float] = {}
-        self._centres: dict[str, float] = {}
+        self._store_confirmed_at = now
+        self._last_contact_at: dict[str, float] = {}
+        self._last_activity_at: dict[str, float] = {}
+        self._majority_contact_at: dict[str, float] = {}
         self._voters: set[str] = set()
-        self._settled = False
-        self._settled_seen = False
+        self._has_voters = False
+        self._majority_established = False
 
     @property
-    def settled(self) -> bool:
-        """Whether this node counts the majority of its data centre itself."""
-        return self._settled
+    def has_voters(self) -> bool:
+        """Whether this node has determined the voters of its data centre."""
+        return self._has_voters
 
     @property
-    def contact_at(self) -> float:
-        """Latest time at which this node was allowed to serve."""
-        return max(self._granted_at, max(self._centres.values(), default=NEVER))
+    def last_confirmed_at(self) -> float:
+        """Latest time at which a majority or the store allowed this node to serve."""
+        return max(
+            self._store_confirmed_at,
+            max(self._majority_contact_at.values(), default=NEVER),
+        )
 
     def is_fenced(self, now: float) -> bool:
-        """Whether requests must be refused."""
-        return now - self.contact_at > self._times.fence_after_s
+        """Return whether requests must be refused."""
+        return now - self.last_confirmed_at > self._timeouts.fence_after_s
 
-    def heard_at(self, name: str) -> float:
-        """Return when a member of this data centre was last heard."""
-        return self._heard.get(name, NEVER)
+    def last_contact_at(self, name: str) -> float:
+        """Return the time of the latest contact with a member of this data centre."""
+        return self._last_contact_at.get(name, NEVER)
 
-    def centre_heard_at(self, data_centre: str) -> float:
-        """Return when a majority of a data centre was last heard."""
-        return self._centres.get(data_centre, NEVER)
+    def majority_contact_at(self, data_centre: str) -> float:
+        """Return the time of the latest contact with a majority of a data centre."""
+        return self._majority_contact_at.get(data_centre, NEVER)
 
-    def centre_silent_since(self, data_centre: str) -> float:
-        """Return since when a data centre could have been heard and was not.
+    def majority_lost_since(self, data_centre: str) -> float:
+        """Return the time since which contact with a data centre has been missing.
 
-        A node that has just started, or was paused, first waits until majorities are
-        counted.
+        A node that has just started or was paused first has ``fence_after_s`` to make
+        contact.
         """
-        settled_at = self._started_at + self._times.fence_after_s
-        return max(settled_at, self.centre_heard_at(data_centre))
-
-    def hear(self, name: str, at: float) -> None:
-        """Take note that a member answered a question that was asked at a time."""
-        self._heard[name] = max(at, self._heard.get(name, NEVER))
-
-    def note(self, name: str, now: float) -> None:
-        """Take note of a sign of life of unknown age; it delays a declaration only."""
-        self._noted[name] = now
-
-    def grant(self, at: float) -> None:
-        """Take note that the store does not hold this node for gone."""
-        self._granted_at = max(self._granted_at, at)
-
-    def forget(self, now: float) -> None:
-        """Drop what was heard, after this process was paused."""
-        self._heard.clear()
-        self._centres.clear()
-        self._granted_at = NEVER
+        grace_ends_at = self._started_at + self._timeouts.fence_after_s
+        return max(grace_ends_at, self.majority_contact_at(data_centre))
+
+    def record_contact(self, name: str, contact_at: float) -> None:
+        """Record a contact with a member.
+
+        Parameters
+        ----------
+        name : str
+            Member that responded.
+        contact_at : float
+            Time at which the request was sent.
+        """
+        self._last_contact_at[name] = max(
+            contact_at, self._last_contact_at.get(name, NEVER)
+        )
+
+    def record_activity(self, name: str, now: float) -> None:
+        """Record a sign of life of unknown age, which only delays a declaration."""
+        self._last_activity_at[name] = now
+
+    def record_store_confirmation(self, confirmed_at: float) -> None:
+        """Record that the store does not mark this node as gone."""
+        self._store_confirmed_at = max(self._store_confirmed_at, confirmed_at)
+
+    def reset(self, now: float) -> None:
+        """Discard all contacts, after a pause of this process or a new incarnation."""
+        self._last_contact_at.clear()
+        self._majority_contact_at.clear()
+        self._store_confirmed_at = NEVER
         self._started_at = now
 
-    def advance(self, roster: set[str], now: float) -> None:
-        """Adopt voters and count the majority of the own data centre.
+    def update(self, names: set[str], now: float) -> None:
+        """Update the voters and the contact with the majority of this data centre.
+
+        New members become voters only while the majority of the present voters is in
+        contact, so that they cannot turn a minority into a majority.
 
         Parameters
         ----------
-        roster : set of str
+        names : set of str
             Members of the data centre that are not gone, this node included.
         now : float
-            Time of ``elapsed_clock``.
+            Time of ``boottime_clock``.
         """
-        for times in (self._heard, self._noted):
-            for name in times.keys() - roster:
+        for times in (self._last_contact_at, self._last_activity_at):
+            for name in times.keys() - names:
                 del times[name]
-        self._voters &= roster
-        in_contact = now - self.centre_heard_at(self._data_centre) < self._times.fresh_s
-        if not self._settled:
-            waited = now - self._started_at >= self._times.fence_after_s
-            self._settled = waited and (in_contact or not self._settled_seen)
-            in_contact = self._settled
+        self._voters &= names
+        in_contact = (
+            now - self.majority_contact_at(self._data_centre)
+            < self._timeouts.max_contact_age_s
+        )
+        if not self._has_voters:
+            has_waited = now - self._started_at >= self._timeouts.fence_after_s
+            self._has_voters = has_waited and (
+                in_contact or not self._majority_established
+            )
+            in_contact = self._has_voters
         if in_contact:
-            self._voters = set(roster)
-        if self._settled:
-            self._settled_seen = True
-            self._count_majority(now)
-
-    def _count_majority(self, now: float) -> None:
-        heard = [now if v == self._name else self.heard_at(v) for v in self._voters]
-        heard.sort(reverse=True)
-        majority_at = heard[len(heard) // 2]
-        held = self._centres.get(self._data_centre, NEVER)
-        self._centres[self._data_centre] = max(held, majority_at)
-
-    def tell(self, roster: set[str], now: float) -> View:
-        """Return what to tell a peer."""
-        names = sorted(roster)
+            self._voters = set(names)
+        if self._has_voters:
+            self._majority_established = True
+            self._update_majority_contact(now)
+
+    def _update_majority_contact(self, now: float) -> None:
+        contact_times = [
+            now if v == self._name else self.last_contact_at(v) for v in self._voters
+        ]
+        contact_times.sort(reverse=True)
+        majority_at = contact_times[len(contact_times) // 2]
+        previous_at = self._majority_contact_at.get(self._data_centre, NEVER)
+        self._majority_contact_at[self._data_centre] = max(previous_at, majority_at)
+
+    def build_report(self, names: set[str], now: float) -> ContactReport:
+        """Return the report of this node's contact times for a peer."""
+        sorted_names = sorted(names)
         ages = bytes(
-            0 if name == self._name else _age(now - self.heard_at(name))
-            for name in names
+            0 if name == self._name else _encode_age(now - self.last_contact_at(name))
+            for name in sorted_names
+        )
+        majority_ages = [
+            DataCentreContactAge(c, _encode_age(now - at))
+            for c, at in self._majority_contact_at.items()
+        ]
+        digest = digest_names(sorted_names)
+        return ContactReport(
+            self._data_centre, digest, ages, majority_ages, self._majority_established
         )
-        centres = [CentreAge(c, _age(now - at)) for c, at in self._centres.items()]
-        digest = roster_digest(names)
-        return View(self._data_centre, digest, ages, centres, self._settled_seen)
-
-    def take(self, view: View, roster: set[str], asked_at: float) -> None:
-        """Merge what a peer answered to a question asked at a time."""
-        for item in view.centres:
-            if item.age < MAX_AGE:
-                at = asked_at - item.age * AGE_UNIT_S
-                self._centres[item.data_centre] = max(
-                    at, self._centres.get(item.data_centre, NEVER)
+
+    def apply_report(
+        self, report: ContactReport, names: set[str], requested_at: float
+    ) -> None:
+        """Merge the contact times of a peer's report.
+
+        Parameters
+        ----------
+        report : ContactReport
+            Report of the peer.
+        names : set of str
+            Members of this node's data centre that are not gone.
+        requested_at : float
+            Time of ``boottime_clock`` at which the report was requested.
+        """
+        for item in report.majority_ages:
+            if item.age < MAX_AGE_UNITS:
+                contact_at = requested_at - item.age * AGE_UNIT_S
+                self._majority_contact_at[item.data_centre] = max(
+                    contact_at, self._majority_contact_at.get(item.data_centre, NEVER)
                 )
-        if view.data_centre != self._data_centre:
+        if report.data_centre != self._data_centre:
             return
-        self._settled_seen |= view.settled
-        names = sorted(roster)
-        if view.roster != roster_digest(names):
+        self._majority_established |= report.majority_established
+        sorted_names = sorted(names)
+        if report.names_digest != digest_names(sorted_names):
             return
-        for name, age in zip(names, view.ages, strict=False):
-            if age < MAX_AGE and name != self._name:
-                self.hear(name, asked_at - age * AGE_UNIT_S)
+        for name, age in zip(sorted_names, report.ages, strict=False):
+            if age < MAX_AGE_UNITS and name != self._name:
+                self.record_contact(name, requested_at - age * AGE_UNIT_S)
 
-    def is_silent(self, name: str, centres: Iterable[str], now: float) -> bool:
-        """Whether a member of this data centre cannot be serving for want of peers.
+    def is_silent(self, name: str, data_centres: Iterable[str], now: float) -> bool:
+        """Return whether a member of this data centre can no longer reach a majority.
 
         Parameters
         ----------
         name : str
-            Member that is not heard.
-        centres : iterable of str
-            Every data centre with members; a majority of each has to be heard, so
-            that the silent member hears the majority of none.
+            Member without contact.
+        data_centres : iterable of str
+            Every data centre with members. Contact with a majority of each is required,
+            because the silent member is then in contact with no majority.
         now : float
-            Time of ``elapsed_clock``.
+            Time of ``boottime_clock``.
         """
-        gone_after_s = self._times.gone_after_s
-        if not self._settled or now - self._started_at <= gone_after_s:
+        gone_after_s = self._timeouts.gone_after_s
+        if not self._has_voters or now - self._started_at <= gone_after_s:
             return False
-        last_at = max(self.heard_at(name), self._noted.get(name, NEVER))
+        last_at = max(
+            self.last_contact_at(name), self._last_activity_at.get(name, NEVER)
+        )
         if now - last_at <= gone_after_s:
             return False
-        fresh_s = self._times.fresh_s
-        return all(now - self.centre_heard_at(c) <= fresh_s for c in centres)
+        max_age_s = self._timeouts.max_contact_age_s
+        return all(now - self.majority_contact_at(c) <= max_age_s for c in data_centres)
 
 
-def _age(seconds: float) -> int:
-    if seconds > MAX_AGE * AGE_UNIT_S:
-        return MAX_AGE
-    return min(MAX_AGE, math.ceil(max(0.0, seconds) / AGE_UNIT_S))
+def _encode_age(seconds: float) -> int:
+    if seconds > MAX_AGE_UNITS * AGE_UNIT_S:
+        return MAX_AGE_UNITS
+    return min(MAX_AGE_UNITS, math.ceil(max(0.0, seconds) / AGE_UNIT_S))
--- a/marigoldchute/membership/losses.py
+++ b/marigoldchute/membership/losses.py
@@ -1,66 +1,70 @@
-"""Peers whose links were lost, until they are linked again or claimed."""
+"""Peers that lost their link, until they are linked again or claimed."""
 
 from __future__ import annotations
 
 import dataclasses
 
-SILENT_AFTER_S = 3.0
-REFUSALS_NEEDED = 2
-INVESTIGATE_AGAIN_S = 5.0
+PROBE_AFTER_S = 3.0
+MIN_REFUSED_COUNT = 2
+PROBE_INTERVAL_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Loss:
-    """One lost peer.
+class LostPeer:
+    """Peer to which the link was lost.
 
     Parameters
     ----------
     since : float
-        Monotonic time at which the peer was lost.
-    refusals : int
-        Connections that its address refused since.
-    not_before : float
-        Monotonic time of the next investigation.
+        Monotonic time at which the link was lost.
+    refused_count : int
+        Number of connections that the peer's address has refused since.
+    next_probe_at : float
+        Monotonic time before which the peer is not probed.
     """
 
     since: float
-    refusals: int = 0
-    not_before: float = 0.0
+    refused_count: int = 0
+    next_probe_at: float = 0.0
 
     def is_due(self, now: float) -> bool:
-        """Whether the loss should be investigated."""
-        if now < self.not_before:
+        """Return whether the peer should be probed."""
+        if now < self.next_probe_at:
             return False
-        return self.refusals >= REFUSALS_NEEDED or now - self.since >= SILENT_AFTER_S
+        return (
+            self.refused_count >= MIN_REFUSED_COUNT or now - self.since >= PROBE_AFTER_S
+        )
 
 
-class Losses:
-    """The lost peers of this node."""
+class LostPeers:
+    """Lost peers of this node, by name."""
 
     def __init__(self) -> None:
-        self._losses: dict[str, Loss] = {}
+        self._peers: dict[str, LostPeer] = {}
 
-    def add(self, name: str, refused: bool, now: float) -> None:
-        """Take note that a peer was lost, or that it refused a connection."""
-        loss = self._losses.get(name, Loss(now))
-        refusals = loss.refusals + refused
-        self._losses[name] = dataclasses.replace(loss, refusals=refusals)
+    def record_failure(self, name: str, refused: bool, now: float) -> None:
+        """Record that a link was lost or that a connection could not be opened."""
+        peer = self._peers.get(name, LostPeer(now))
+        refused_count = peer.refused_count + refused
+        self._peers[name] = dataclasses.replace(peer, refused_count=refused_count)
 
-    def clear(self, name: str) -> None:
-        """Take note that a peer was heard."""
-        self._losses.pop(name, None)
+    def remove(self, name: str) -> None:
+        """Remove a peer that is in contact again or is no longer of interest."""
+        self._peers.pop(name, None)
 
-    def restart(self, name: str) -> None:
-        """Drop the refusals counted so far."""
-        loss = self._losses.get(name)
-        if loss is not None:
-            self._losses[name] = dataclasses.replace(loss, refusals=0)
+    def reset_refused_count(self, name: str) -> None:
+        """Reset the number of connections that a peer has refused."""
+        peer = self._peers.get(name)
+        if peer is not None:
+            self._peers[name] = dataclasses.replace(peer, refused_count=0)
 
-    def due(self, now: float) -> list[str]:
-        """Return the peers to investigate and put each off until the next time."""
-        names = [name for name, loss in self._losses.items() if loss.is_due(now)]
+    def schedule_due(self, now: float) -> list[str]:
+        """Return the peers to probe now and schedule their next probe."""
+        names = [name for name, peer in self._peers.items() if peer.is_due(now)]
         for name in names:
-            self._losses[name] = dataclasses.replace(
-                self._losses[name], refusals=0, not_before=now + INVESTIGATE_AGAIN_S
+            self._peers[name] = dataclasses.replace(
+                self._peers[name],
+                refused_count=0,
+                next_probe_at=now + PROBE_INTERVAL_S,
             )
         return names
--- a/marigoldchute/membership/model.py
+++ b/marigoldchute/membership/model.py
@@ -1,4 +1,4 @@
-"""Members and backend servers as other slices see them."""
+"""Members and backend servers as the other packages see them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MemberState(enum.IntEnum):
-    """What is known of a member."""
+    """Liveness of a member."""
 
     ALIVE = 0
     DRAINING = 1
@@ -25,19 +25,19 @@
     server_id : str
         Unique per announcement lifetime, ``node/port``.
     service, release : str
-        What it serves.
+        Service and release that the server provides.
     port : int
         TCP port on the VM's own address.
     slots : int
-        Requests that it can run at once.
+        Maximum number of concurrent requests.
     connections : int
-        Connections that it accepts.
+        Maximum number of connections.
     draining : bool
-        Whether it takes no new requests.
+        Whether the server accepts no new requests.
     warm_at_ms : int
         Wall-clock time at which its cold start ends.
     instance : str
-        Id by which the backend server knows itself; empty when it has none.
+        Id that the backend server uses for itself; empty when it has none.
     """
 
     server_id: str
@@ -53,30 +53,30 @@
 
 @dataclasses.dataclass(frozen=True)
 class Member:
-    """One node as the mesh knows it.
+    """A node of the mesh, as described by its member record.
 
     Parameters
     ----------
     name : str
         Name of the VM.
     incarnation : int
-        Rises with each start of the node process.
+        Increases with each start of the node process.
     sequence : int
-        Rises with each change within an incarnation.
+        Increases with each change within an incarnation.
     address : str
-        IP number under which peers reach it.
+        IP address at which peers reach the node.
     peer_port : int
         TCP port for peers.
     data_centre, region : str
-        Its place.
+        Location of the VM.
     state : MemberState
         Liveness.
     servers : tuple of BackendServer
-        Backend servers on its VM.
+        Backend servers on the VM.
     gone_at_ms : int
-        Wall-clock time at which it was found to be gone.
+        Wall-clock time at which the member was declared gone.
     store_ms : int
-        Shortest time of its calls to the store; 0 while that is not known.
+        Lowest latency of its calls to the store in milliseconds; 0 while unknown.
     """
 
     name: str
@@ -93,20 +93,20 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the member may be given new requests."""
+        """Whether new requests may be sent to the member."""
         return self.state is MemberState.ALIVE
 
 
 class Members(Protocol):
-    """What membership offers to the other slices."""
+    """Interface of membership for the other packages."""
 
     @property
     def local(self) -> Member:
-        """The member record of this node."""
+        """Member record of this node."""
 
     @property
     def fenced(self) -> bool:
-        """Whether this node must refuse requests because it hears too few others."""
+        """Whether this node must refuse requests, as others may consider it gone."""
 
     def all(self) -> tuple[Member, ...]:
         """Return every known member that is not gone, this node included."""
--- a/marigoldchute/membership/probe.py
+++ b/marigoldchute/membership/probe.py
@@ -1,9 +1,4 @@
-"""Investigates lost peers and claims them unreachable or gone on evidence.
-
-A member is claimed only if others agree: helpers that are linked to this node try the
-same address. One that reaches it ends the investigation, so a fault between two members
-alone changes nothing.
-"""
+"""Probes of lost peers, and the claims of unreachable or gone members based on them."""
 
 from __future__ import annotations
 
@@ -28,29 +23,30 @@
     from marigoldchute.membership.service import Membership
     from marigoldchute.overlay.overlay import Overlay
 
-HELPERS = 3
+HELPER_COUNT = 3
 PROBE_PURPOSE = "probe"
 PROBE_TIMEOUT_S = 2.0
-PROBE_AGAIN_S = 0.3
-HELP_TIMEOUT_S = 6.0
+PROBE_RETRY_DELAY_S = 0.3
+HELPER_TIMEOUT_S = 6.0
 CHECK_INTERVAL_S = 0.5
-MAX_INVESTIGATIONS = 4
+MAX_CONCURRENT_CHECKS = 4
 
 
-class Outcome(enum.IntEnum):
-    """What came of probing an address.
+class ProbeOutcome(enum.IntEnum):
+    """Outcome of probing the address of a member.
 
-    ``REPLACED`` means that a member of another name and a later start answered there.
+    ``REPLACED`` means that a member with another name and a later start responded.
+    ``NOT_REACHED`` covers every failure other than a refused connection.
     """
 
     REACHED = 0
     REFUSED = 1
-    SILENT = 2
+    NOT_REACHED = 2
     REPLACED = 3
 
 
 class ProbeRequest(msgspec.Struct, frozen=True, array_like=True):
-    """The member whose address a helper is asked to try."""
+    """Request to a helper to probe the address of a member."""
 
     name: str
     incarnation: int
@@ -59,11 +55,16 @@
 
 
 _REQUEST = msgspec.msgpack.Decoder(ProbeRequest)
-_OUTCOME = msgspec.msgpack.Decoder(Outcome)
+_OUTCOME = msgspec.msgpack.Decoder(ProbeOutcome)
 
 
 class Prober:
-    """Investigates the lost peers of this node."""
+    """Probes lost peers and claims those that nobody reaches.
+
+    A member is claimed only if other members agree: helpers, which are peers linked to
+    this node, probe the same address. If any of them reaches it, no claim is made, so a
+    network fault between only two members does not change any state.
+    """
 
     def __init__(
         self,
@@ -77,107 +78,118 @@
         self._endpoint = endpoint
         self._overlay = overlay
         self._rng = rng
-        self._limit = trio.CapacityLimiter(MAX_INVESTIGATIONS)
-        handlers.register(Method.PROBE, self._help)
+        self._limiter = trio.CapacityLimiter(MAX_CONCURRENT_CHECKS)
+        handlers.register(Method.PROBE, self._handle_probe)
 
     async def run(self) -> None:
-        """Investigate losses until cancelled."""
+        """Probe lost peers until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(CHECK_INTERVAL_S)
-                for name in self._membership.losses.due(trio.current_time()):
-                    nursery.start_soon(self._investigate, name)
-
-    async def _investigate(self, name: str) -> None:
-        async with self._limit:
-            member = self._membership.record_of(name)
+                for name in self._membership.lost_peers.schedule_due(
+                    trio.current_time()
+                ):
+                    nursery.start_soon(self._check_lost_peer, name)
+
+    async def _check_lost_peer(self, name: str) -> None:
+        async with self._limiter:
+            member = self._membership.get_recorded(name)
             if member is None or self._overlay.is_linked(name):
-                self._membership.losses.clear(name)
+                self._membership.lost_peers.remove(name)
                 return
             if member.state is MemberState.GONE:
-                self._membership.losses.clear(name)
+                self._membership.lost_peers.remove(name)
                 return
-            helpers = self._helpers(member)
-            others = len(self._membership.recorded()) - 2
-            if not helpers and others > 0:
+            helpers = self._select_helpers(member)
+            other_count = len(self._membership.recorded_members()) - 2
+            if not helpers and other_count > 0:
                 return
-            outcomes = await self._ask(member, helpers)
-            if Outcome.REACHED in outcomes and name not in self._membership.wanted():
+            outcomes = await self._collect_outcomes(member, helpers)
+            if (
+                ProbeOutcome.REACHED in outcomes
+                and name not in self._membership.wanted()
+            ):
                 # The link was closed because neither end needs it.
-                self._membership.losses.clear(name)
+                self._membership.lost_peers.remove(name)
                 return
-            self._conclude(member, outcomes, await self._is_centre_heard(member))
+            self._claim_if_lost(
+                member, outcomes, await self._is_data_centre_reachable(member)
+            )
 
-    def _helpers(self, member: Member) -> list[Link]:
+    def _select_helpers(self, member: Member) -> list[Link]:
         links = [x for x in self._overlay.neighbours() if x.peer.name != member.name]
         self._rng.shuffle(links)
         links.sort(key=lambda link: link.peer.data_centre != member.data_centre)
-        return links[:HELPERS]
+        return links[:HELPER_COUNT]
 
-    async def _ask(self, member: Member, helpers: list[Link]) -> list[Outcome]:
+    async def _collect_outcomes(
+        self, member: Member, helpers: list[Link]
+    ) -> list[ProbeOutcome]:
         request = ProbeRequest(
             member.name, member.incarnation, member.address, member.peer_port
         )
-        outcomes: list[Outcome] = []
+        outcomes: list[ProbeOutcome] = []
 
-        async def ask_helper(link: Link) -> None:
+        async def probe_through_helper(link: Link) -> None:
             body = msgspec.msgpack.encode(request)
             try:
-                reply = await link.call(Method.PROBE, body, HELP_TIMEOUT_S)
-                outcomes.append(_OUTCOME.decode(reply))
+                response = await link.call(Method.PROBE, body, HELPER_TIMEOUT_S)
+                outcomes.append(_OUTCOME.decode(response))
             except (PeerError, msgspec.DecodeError):
                 return
 
-        async def probe_here() -> None:
+        async def probe_directly() -> None:
             outcomes.append(await self._probe(request))
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(probe_here)
+            nursery.start_soon(probe_directly)
             for link in helpers:
-                nursery.start_soon(ask_helper, link)
+                nursery.start_soon(probe_through_helper, link)
         return outcomes
 
-    async def _help(self, link: Link, body: bytes) -> bytes:
+    async def _handle_probe(self, link: Link, body: bytes) -> bytes:
         try:
             request = _REQUEST.decode(body)
         except msgspec.DecodeError as exc:
-            raise PeerError(f"bad probe: {exc}", ResultCode.PEER_PROTOCOL) from exc
+            raise PeerError(
+                f"malformed probe request: {exc}", ResultCode.PEER_PROTOCOL
+            ) from exc
         return msgspec.msgpack.encode(await self._probe(request))
 
-    async def _probe(self, request: ProbeRequest) -> Outcome:
-        """Try an address; a refusal counts only when it is seen twice."""
+    async def _probe(self, request: ProbeRequest) -> ProbeOutcome:
+        """Probe an address; a refusal counts only when it occurs twice in a row."""
         if self._overlay.is_linked(request.name):
-            return Outcome.REACHED
+            return ProbeOutcome.REACHED
         outcome = await self._probe_once(request)
-        if outcome is Outcome.REFUSED:
-            await trio.sleep(PROBE_AGAIN_S)
+        if outcome is ProbeOutcome.REFUSED:
+            await trio.sleep(PROBE_RETRY_DELAY_S)
             outcome = await self._probe_once(request)
         return outcome
 
-    async def _probe_once(self, request: ProbeRequest) -> Outcome:
+    async def _probe_once(self, request: ProbeRequest) -> ProbeOutcome:
         with trio.move_on_after(PROBE_TIMEOUT_S):
             try:
                 link = await self._endpoint.connect(
                     request.address, request.peer_port, PROBE_PURPOSE
                 )
             except AuthError:
-                return Outcome.SILENT
+                return ProbeOutcome.NOT_REACHED
             except PeerError as exc:
                 refused = exc.code is ResultCode.PEER_REFUSED
-                return Outcome.REFUSED if refused else Outcome.SILENT
+                return ProbeOutcome.REFUSED if refused else ProbeOutcome.NOT_REACHED
             peer = link.peer
             link.close()
             if peer.name == request.name:
-                return Outcome.REACHED
-            later = peer.incarnation > request.incarnation
-            return Outcome.REPLACED if later else Outcome.SILENT
-        return Outcome.SILENT
+                return ProbeOutcome.REACHED
+            started_later = peer.incarnation > request.incarnation
+            return ProbeOutcome.REPLACED if started_later else ProbeOutcome.NOT_REACHED
+        return ProbeOutcome.NOT_REACHED
 
-    async def _is_centre_heard(self, member: Member) -> bool:
-        """Whether some other member of a data centre answers, or it has no other."""
+    async def _is_data_centre_reachable(self, member: Member) -> bool:
+        """Return whether another member of the data centre responds or none exists."""
         others = [
             other
-            for other in self._membership.recorded()
+            for other in self._membership.recorded_members()
             if other.data_centre == member.data_centre and other.name != member.name
         ]
         if not others or member.data_centre == self._membership.local.data_centre:
@@ -188,21 +200,26 @@
         request = ProbeRequest(
             other.name, other.incarnation, other.address, other.peer_port
         )
-        return await self._probe(request) is Outcome.REACHED
+        return await self._probe(request) is ProbeOutcome.REACHED
 
-    def _conclude(
-        self, member: Member, outcomes: list[Outcome], centre_heard: bool
+    def _claim_if_lost(
+        self,
+        member: Member,
+        outcomes: list[ProbeOutcome],
+        data_centre_reachable: bool,
     ) -> None:
         now_ms = wall_clock_ms()
-        needed = min(2, len(self._membership.recorded()) - 1)
-        if Outcome.REACHED in outcomes:
+        min_outcomes = min(2, len(self._membership.recorded_members()) - 1)
+        if ProbeOutcome.REACHED in outcomes:
             return
-        if outcomes.count(Outcome.REPLACED) >= needed:
-            why = "another member answers at its address"
-            self._membership.claim(member, MemberState.GONE, why, now_ms)
-        elif outcomes.count(Outcome.REFUSED) >= needed:
-            why = "its address refuses connections"
-            self._membership.claim(member, MemberState.GONE, why, now_ms)
-        elif len(outcomes) >= needed and centre_heard:
-            why = f"{len(outcomes)} members cannot reach it"
-            self._membership.claim(member, MemberState.UNREACHABLE, why, now_ms)
+        if outcomes.count(ProbeOutcome.REPLACED) >= min_outcomes:
+            reason = "another member responds at its address"
+            self._membership.publish_claim(member, MemberState.GONE, reason, now_ms)
+        elif outcomes.count(ProbeOutcome.REFUSED) >= min_outcomes:
+            reason = "its address refuses connections"
+            self._membership.publish_claim(member, MemberState.GONE, reason, now_ms)
+        elif len(outcomes) >= min_outcomes and data_centre_reachable:
+            reason = f"{len(outcomes)} members cannot reach it"
+            self._membership.publish_claim(
+                member, MemberState.UNREACHABLE, reason, now_ms
+            )
--- a/marigoldchute/membership/seeds.py
+++ b/marigoldchute/membership/seeds.py
@@ -1,9 +1,4 @@
-"""Addresses of a few members in the store, through which nodes find each other.
-
-Each data centre has ``SLOTS`` seed objects. The members that come first in rendezvous
-order hold them and write only what has changed, so the number of calls does not depend
-on the size of the fleet.
-"""
+"""Addresses of a few members in the store, through which nodes find each other."""
 
 from __future__ import annotations
 
@@ -24,13 +19,13 @@
     from marigoldchute.objectstore.api import ObjectStore, StoredObject
     from marigoldchute.overlay.overlay import Overlay
 
-SEED_PREFIX = "seeds/"
-SLOTS = 3
-JOIN_WAIT_S = 2.0
-JOIN_RETRY_MAX_S = 30.0
-HOLD_CHECK_S = 3.0
-HOLD_REFRESH_S = 300.0
-DUTY = "seed"
+SEED_KEY_PREFIX = "seeds/"
+SLOT_COUNT = 3
+JOIN_DELAY_S = 2.0
+MAX_JOIN_RETRY_DELAY_S = 30.0
+SLOT_CHECK_INTERVAL_S = 3.0
+SLOT_REFRESH_INTERVAL_S = 300.0
+SEED_DUTY = "seed"
 
 
 class Seed(msgspec.Struct, frozen=True):
@@ -41,9 +36,9 @@
     name : str
         Member that holds the slot.
     incarnation : int
-        Its incarnation.
+        Incarnation of that member.
     address : str
-        IP number under which peers reach it.
+        IP address at which peers reach it.
     peer_port : int
         TCP port for peers.
     """
@@ -59,11 +54,15 @@
 
 def seed_key(data_centre: str, slot: int) -> str:
     """Return the store key of a seed object."""
-    return f"{SEED_PREFIX}{data_centre}/{slot}"
+    return f"{SEED_KEY_PREFIX}{data_centre}/{slot}"
 
 
 class SeedKeeper:
-    """Joins through the seeds of the store and keeps this node's own slot.
+    """Joins the mesh through the seeds in the store and maintains this node's slot.
+
+    Each data centre has ``SLOT_COUNT`` seed objects. The first members in rendezvous
+    order hold them and write only changes, so the number of store calls does not depend
+    on the number of members.
 
     Parameters
     ----------
@@ -88,35 +87,35 @@
         self._overlay = overlay
         self._store = store
         self._rng = rng
-        self._held: tuple[int, Seed] | None = None
-        self._checked_at = -HOLD_REFRESH_S
+        self._stored_slot: tuple[int, Seed] | None = None
+        self._checked_at = -SLOT_REFRESH_INTERVAL_S
 
     async def run(self) -> None:
-        """Join, then hold a slot when this node is among the first."""
+        """Join the mesh, then maintain this node's slot until cancelled."""
         await self._join()
         while True:
-            await trio.sleep(HOLD_CHECK_S * self._rng.uniform(0.5, 1.5))
-            if not self._overlay.neighbours() and self._has_others():
+            await trio.sleep(SLOT_CHECK_INTERVAL_S * self._rng.uniform(0.5, 1.5))
+            if not self._overlay.neighbours() and self._has_other_members():
                 await self._join()
-            await self.hold(trio.current_time())
+            await self.update_slot(trio.current_time())
 
-    def _has_others(self) -> bool:
-        return len(self._membership.recorded()) > 1
+    def _has_other_members(self) -> bool:
+        return len(self._membership.recorded_members()) > 1
 
     async def _join(self) -> None:
-        """Look for seeds while no peer is linked, until the store was read once."""
-        delay_s = JOIN_WAIT_S
-        await trio.sleep(JOIN_WAIT_S * self._rng.uniform(0.5, 1.0))
+        """Read the seeds until it succeeds once or a peer is linked."""
+        delay_s = JOIN_DELAY_S
+        await trio.sleep(JOIN_DELAY_S * self._rng.uniform(0.5, 1.0))
         while not self._overlay.neighbours():
             if await self.read_seeds():
                 return
             await trio.sleep(delay_s * self._rng.uniform(0.0, 1.0))
-            delay_s = min(JOIN_RETRY_MAX_S, 2 * delay_s)
+            delay_s = min(MAX_JOIN_RETRY_DELAY_S, 2 * delay_s)
 
     async def read_seeds(self) -> bool:
-        """Take the seeds of all data centres from the store; False when it fails."""
+        """Read the seeds of all data centres from the store; False if that fails."""
         try:
-            objects = await self._store.list(SEED_PREFIX)
+            objects = await self._store.list(SEED_KEY_PREFIX)
         except PlatformError:
             return False
         local = self._membership.local
@@ -130,59 +129,59 @@
         )
         return True
 
-    async def hold(self, now: float) -> None:
-        """Write this node's slot if it holds one and the store does not say so."""
-        slot = self._slot()
+    async def update_slot(self, now: float) -> None:
+        """Write this node's slot if it holds one and the stored seed is outdated."""
+        slot = self._own_slot()
         if slot is None:
-            self._held = None
+            self._stored_slot = None
             return
         local = self._membership.local
         seed = Seed(local.name, local.incarnation, local.address, local.peer_port)
-        written = self._held == (slot, seed)
-        if written and now - self._checked_at < HOLD_REFRESH_S:
+        is_stored = self._stored_slot == (slot, seed)
+        if is_stored and now - self._checked_at < SLOT_REFRESH_INTERVAL_S:
             return
         try:
             await self._write(slot, seed)
         except PlatformError:
             return
-        self._held = (slot, seed)
+        self._stored_slot = (slot, seed)
         self._checked_at = now
 
-    def _slot(self) -> int | None:
+    def _own_slot(self) -> int | None:
         local = self._membership.local
         alive = [
             member
-            for member in self._membership.recorded()
+            for member in self._membership.recorded_members()
             if member.data_centre == local.data_centre
             and member.state is MemberState.ALIVE
         ]
-        first = rendezvous_order(alive, DUTY)[:SLOTS]
-        names = [member.name for member in first]
+        holders = rendezvous_order(alive, SEED_DUTY)[:SLOT_COUNT]
+        names = [member.name for member in holders]
         return names.index(local.name) if local.name in names else None
 
     async def _write(self, slot: int, seed: Seed) -> None:
         key = seed_key(self._membership.local.data_centre, slot)
         try:
-            standing = await self._store.get(key)
+            stored = await self._store.get(key)
         except NotFoundError:
             revision = CREATE_ONLY
         else:
-            revision = standing.revision
-            held = _decode(standing)
-            if held == seed:
+            revision = stored.revision
+            stored_seed = _decode(stored)
+            if stored_seed == seed:
                 return
-            self._meet(held)
+            self._dial_unknown_holder(stored_seed)
         try:
             await self._store.put(key, msgspec.json.encode(seed), revision)
         except ConflictError:
-            self._meet(_decode(await self._store.get(key)))
+            self._dial_unknown_holder(_decode(await self._store.get(key)))
             raise
 
-    def _meet(self, seed: Seed | None) -> None:
-        """Dial the holder of a slot if it is in no record, so that two meshes join."""
-        if seed is None or self._membership.record_of(seed.name) is not None:
+    def _dial_unknown_holder(self, seed: Seed | None) -> None:
+        """Dial the holder of a slot that has no member record, to join two meshes."""
+        if seed is None or self._membership.get_recorded(seed.name) is not None:
             return
-        self._membership.add_stranger(seed.address, seed.peer_port)
+        self._membership.add_one_time_address(seed.address, seed.peer_port)
 
 
 def _decode(stored: StoredObject) -> Seed | None:
--- a/tests/support/membership.py
+++ b/tests/support/membership.py
@@ -1,4 +1,4 @@
-"""What tests of membership with real processes have in common."""
+"""Base of the membership tests with real processes."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 FENCE_AFTER_MS = 5000
 HEARTBEAT_MS = 500
-SETTLE_S = 6
-FENCED = b"513"
-NO_BUNDLE = b"501"
+SETTLE_S = 6  # Nodes determine their voters after FENCE_AFTER_MS.
+FENCED_CODE = b"513"
+NO_BUNDLE_CODE = b"501"
 
 
 class MembershipTestCase(MeshTestCase):
-    """A mesh whose nodes fence themselves early."""
+    """Test case with a mesh whose nodes fence themselves after a short time."""
 
     def start_nodes(self) -> None:
         self.mesh.start_store()
@@ -34,7 +34,7 @@
             self.start_node(vm.name)
 
     def start_node(self, name: str, **settings: object) -> None:
-        """Start a node with the short times of these tests."""
+        """Start a node with the short time limits of these tests."""
         self.mesh.start_node(
             name,
             fence_after_ms=FENCE_AFTER_MS,
@@ -43,18 +43,20 @@
         )
 
     async def wait_for_all(self, names: Iterable[str]) -> None:
-        """Wait until the named nodes see one another alive and nobody else."""
-        wanted = dict.fromkeys(names, "alive")
-        for name in wanted:
-            await self.mesh.wait_until(name, lambda s: states(s) == wanted, 25)
+        """Wait until each named node lists exactly these nodes, all alive."""
+        expected = dict.fromkeys(names, "alive")
+        for name in expected:
+            await self.mesh.wait_until(name, lambda s: member_states(s) == expected, 25)
 
     async def wait_for_state(self, observer: str, name: str, state: str) -> None:
-        """Wait until one node sees another in a state; ``gone`` is not listed."""
-        shown = None if state == "gone" else state
-        await self.mesh.wait_until(observer, lambda s: states(s).get(name) == shown, 30)
+        """Wait until one node lists another in a state; gone members are not listed."""
+        listed = None if state == "gone" else state
+        await self.mesh.wait_until(
+            observer, lambda s: member_states(s).get(name) == listed, 30
+        )
 
-    async def code_of(self, name: str) -> bytes:
-        """Return the code with which a node without a bundle refuses a request."""
+    async def refusal_code(self, name: str) -> bytes:
+        """Return the result code of a request that a node without a bundle refuses."""
         async with httpcore.AsyncConnectionPool() as pool:
             response = await pool.request("GET", self.caller_url(name, "/x"))
         return dict(response.headers)[b"marigoldchute-code"]
@@ -66,15 +68,15 @@
     def events(
         self, event: str, matches: Callable[[dict[str, Any]], bool] = lambda e: True
     ) -> list[dict[str, Any]]:
-        """Return the membership events of one kind."""
-        wanted = f"marigoldchute:membership:{event}"
+        """Return the matching membership events of one kind from all logs."""
+        message_type = f"marigoldchute:membership:{event}"
         return [
             item
             for item in read_events(self.mesh.directory)
-            if item["message_type"] == wanted and matches(item)
+            if item["message_type"] == message_type and matches(item)
         ]
 
 
-def states(status: Status) -> dict[str, str]:
+def member_states(status: Status) -> dict[str, str]:
     """Return the state of each listed member."""
     return {member.name: member.state for member in status.members}
--- a/tests/test_membership/test_announcement.py
+++ b/tests/test_membership/test_announcement.py
@@ -1,4 +1,4 @@
-"""Announcements of backend servers."""
+"""Announcements of backend servers, and claims about this node."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from marigoldchute.overlay.records import RecordTable
 
 ADDRESS = "127.0.0.9"
-WHOLE = {
+VALID = {
     "service": "turnos",
     "release": "r1",
     "port": 9100,
@@ -33,19 +33,19 @@
 
 
 def _announce(membership: Membership, now: float = 0.0, **changes: object) -> None:
-    body = json.dumps(WHOLE | changes).encode()
+    body = json.dumps(VALID | changes).encode()
     take_announcement(membership, body, ADDRESS, 0, now)
 
 
 class AnnouncementTest(unittest.TestCase):
-    def test_restart_on_the_same_port_is_another_server(self) -> None:
+    def test_restarted_server_replaces_the_one_on_the_same_port(self) -> None:
         membership = _membership()
         _announce(membership)
         _announce(membership, instance="b")
         ids = [server.server_id for server in membership.local.servers]
         self.assertEqual(ids, ["vm-1/9100/b"])
 
-    def test_server_that_ceases_to_announce_is_dropped(self) -> None:
+    def test_server_without_announcements_is_removed_after_the_ttl(self) -> None:
         membership = _membership()
         _announce(membership, 10.0)
         membership.expire_announcements(10.0 + ANNOUNCEMENT_TTL_S)
@@ -53,7 +53,7 @@
         membership.expire_announcements(10.1 + ANNOUNCEMENT_TTL_S)
         self.assertEqual(membership.local.servers, ())
 
-    def test_drain_is_published_at_once(self) -> None:
+    def test_draining_is_published_immediately(self) -> None:
         membership = _membership()
         _announce(membership)
         before = membership.local.sequence
@@ -61,42 +61,42 @@
         self.assertTrue(membership.local.servers[0].draining)
         self.assertGreater(membership.local.sequence, before)
 
-    def test_repeated_announcement_changes_nothing(self) -> None:
+    def test_unchanged_announcement_does_not_change_the_record(self) -> None:
         membership = _membership()
         _announce(membership)
         before = membership.local
         _announce(membership, 1.0)
         self.assertIs(membership.local, before)
 
-    def test_cold_start_is_published_once(self) -> None:
+    def test_small_shift_of_the_cold_start_does_not_change_the_record(self) -> None:
         membership = _membership()
-        body = json.dumps(WHOLE | {"cold_ms": 5000}).encode()
+        body = json.dumps(VALID | {"cold_ms": 5000}).encode()
         take_announcement(membership, body, ADDRESS, 1000, 1.0)
         before = membership.local
-        body = json.dumps(WHOLE | {"cold_ms": 3990}).encode()
+        body = json.dumps(VALID | {"cold_ms": 3990}).encode()
         take_announcement(membership, body, ADDRESS, 2005, 2.0)
         self.assertIs(membership.local, before)
 
-    def test_announcement_of_another_vm_is_refused(self) -> None:
-        body = json.dumps(WHOLE).encode()
+    def test_announcement_from_another_vm_is_rejected(self) -> None:
+        body = json.dumps(VALID).encode()
         with self.assertRaises(AnnouncementError) as caught:
             take_announcement(_membership(), body, "127.0.0.10", 0, 0.0)
         self.assertIs(caught.exception.code, ResultCode.ANNOUNCEMENT_FOREIGN)
 
-    def test_bad_announcements_are_refused_with_a_code(self) -> None:
-        bad = [
+    def test_malformed_announcements_are_rejected_with_a_result_code(self) -> None:
+        malformed = [
             b"",
             b"\xff",
             b"[]",
             b"{}",
-            json.dumps(WHOLE | {"slots": 0}).encode(),
-            json.dumps(WHOLE | {"port": 70_000}).encode(),
-            json.dumps(WHOLE | {"cold_ms": -1}).encode(),
-            json.dumps(WHOLE | {"service": ""}).encode(),
-            json.dumps(WHOLE | {"instance": "x" * 65}).encode(),
+            json.dumps(VALID | {"slots": 0}).encode(),
+            json.dumps(VALID | {"port": 70_000}).encode(),
+            json.dumps(VALID | {"cold_ms": -1}).encode(),
+            json.dumps(VALID | {"service": ""}).encode(),
+            json.dumps(VALID | {"instance": "x" * 65}).encode(),
         ]
         membership = _membership()
-        for body in bad:
+        for body in malformed:
             with (
                 self.subTest(body=body),
                 self.assertRaises(AnnouncementError) as caught,
@@ -106,20 +106,20 @@
         self.assertEqual(membership.local.servers, ())
 
 
-class OwnRecordTest(unittest.TestCase):
-    def test_claim_of_unreachability_is_refuted(self) -> None:
+class ClaimAboutLocalNodeTest(unittest.TestCase):
+    def test_claim_that_this_node_is_unreachable_is_refuted(self) -> None:
         membership = _membership()
         before = membership.local.sequence
-        membership.claim(membership.local, MemberState.UNREACHABLE, "test", 0)
+        membership.publish_claim(membership.local, MemberState.UNREACHABLE, "test", 0)
         self.assertIs(membership.local.state, MemberState.ALIVE)
         self.assertGreater(membership.local.sequence, before)
 
-    def test_end_of_the_incarnation_is_followed_by_another(self) -> None:
+    def test_claim_that_this_node_is_gone_begins_a_new_incarnation(self) -> None:
         membership = _membership()
         before = membership.local.incarnation
-        membership.claim(membership.local, MemberState.GONE, "test", 10**15)
+        membership.publish_claim(membership.local, MemberState.GONE, "test", 10**15)
         self.assertGreater(membership.local.incarnation, before)
         self.assertTrue(membership.fenced)
-        known = membership.get("vm-1")
-        assert known is not None
-        self.assertIs(known.state, MemberState.ALIVE)
+        member = membership.get("vm-1")
+        assert member is not None
+        self.assertIs(member.state, MemberState.ALIVE)
--- a/tests/test_membership/test_cuts.py
+++ b/tests/test_membership/test_cuts.py
@@ -1,4 +1,4 @@
-"""Cuts between members and data centres, behind the fault-injecting proxy."""
+"""Network partitions between data centres, made by the fault-injecting proxy."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from marigoldchute.link.endpoint import CONNECT_TIMEOUT_S
 from marigoldchute.link.handshake import HANDSHAKE_TIMEOUT_S
 from marigoldchute.standins.faultproxy import Action, Rule
-from tests.support.membership import NO_BUNDLE, SETTLE_S, MembershipTestCase
+from tests.support.membership import NO_BUNDLE_CODE, SETTLE_S, MembershipTestCase
 
 NORTE = [f"cartago-norte-{i}" for i in (1, 2, 3)]
 MUELLE = [f"limon-muelle-{i}" for i in (1, 2, 3)]
-DIAL_LIMIT_S = CONNECT_TIMEOUT_S + HANDSHAKE_TIMEOUT_S + 1.0
+MAX_DIAL_S = CONNECT_TIMEOUT_S + HANDSHAKE_TIMEOUT_S + 1.0
 BUNDLE = """{
   "services": [{"name": "turnos", "release": "r1"}],
   "routes": [{"name": "turnos", "path_prefix": "/turnos", "service": "turnos"}]
 }"""
 
 
-class CutTest(MembershipTestCase):
+class PartitionTest(MembershipTestCase):
     per_centre = 3
     proxied = True
 
-    def test_cut_data_centre_is_unreachable_and_serves_on(self) -> None:
-        self.run_async(self._cut_centre, 80)
+    def test_partitioned_data_centre_is_unreachable_and_keeps_serving(self) -> None:
+        self.run_async(self._partition_data_centre, 80)
 
-    async def _cut_centre(self) -> None:
+    async def _partition_data_centre(self) -> None:
         self.start_nodes()
         await self.wait_for_all(NORTE + MUELLE)
         await trio.sleep(SETTLE_S)
@@ -34,19 +34,19 @@
         )
         for name in MUELLE:
             await self.wait_for_state(NORTE[0], name, "unreachable")
-            self.assertEqual(await self.code_of(name), NO_BUNDLE)
+            self.assertEqual(await self.refusal_code(name), NO_BUNDLE_CODE)
         await trio.sleep(SETTLE_S)
         for name in NORTE + MUELLE:
-            self.assertEqual(await self.code_of(name), NO_BUNDLE)
+            self.assertEqual(await self.refusal_code(name), NO_BUNDLE_CODE)
         await self.mesh.set_faults()
         await self.wait_for_all(NORTE + MUELLE)
         self.assertEqual(self.events("gone"), [])
         self.assertEqual(self.events("fenced"), [])
 
-    def test_region_cut_before_it_was_settled_is_unreachable_and_heals(self) -> None:
-        self.run_async(self._cut_early, 100)
+    def test_region_partitioned_at_start_is_unreachable_and_recovers(self) -> None:
+        self.run_async(self._partition_at_start, 100)
 
-    async def _cut_early(self) -> None:
+    async def _partition_at_start(self) -> None:
         self.start_nodes()
         await self.wait_for_all(NORTE + MUELLE)
         await self.mesh.set_faults(Rule("limon", "cartago", Action.DROP))
@@ -56,7 +56,7 @@
             await self.wait_for_state(MUELLE[0], name, "unreachable")
         path = self.write_bundle(BUNDLE)
         self.assertEqual((await self.roll(path, NORTE[0]))[0], 0)
-        await trio.sleep(DIAL_LIMIT_S)
+        await trio.sleep(MAX_DIAL_S)
         await self.mesh.set_faults()
         await self.wait_for_all(NORTE + MUELLE)
         for name in MUELLE:
--- a/tests/test_membership/test_gone_safety.py
+++ b/tests/test_membership/test_gone_safety.py
@@ -1,4 +1,4 @@
-"""A member that serves is never declared gone, whatever is cut from what."""
+"""No serving member is declared gone, whatever network partitions occur."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from marigoldchute.errors import NotFoundError, PlatformError
 from marigoldchute.link.handlers import Handlers
-from marigoldchute.membership.contact import Contact, ContactTimes
+from marigoldchute.membership.contact import ContactTimeouts, ContactTracker
 from marigoldchute.membership.exchange import ContactExchange
 from marigoldchute.membership.model import Member, MemberState
 from marigoldchute.membership.silence import SilenceJudge
@@ -21,104 +21,110 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-TIMES = ContactTimes(20.0)
-SETTLED_S = 45
-CUT_S = 66
-SHORT_CUT_S = 15
-HEAL_S = 12
+TIMEOUTS = ContactTimeouts(20.0)
+SETTLE_S = 45
+PARTITION_S = 66
+SHORT_PARTITION_S = 15
+RECOVERY_S = 12
 STEP_S = 3
 
 
-class _Time:
-    """Virtual time of one walk."""
+class _VirtualClock:
+    """Virtual time of one scenario."""
 
     def __init__(self) -> None:
         self.now = 0.0
 
 
 class _Store:
-    """Marks, reachable from one group of nodes."""
+    """Store of gone markers that only some nodes can reach."""
 
     def __init__(self) -> None:
         self.objects: dict[str, StoredObject] = {}
-        self.reachable: frozenset[str] = frozenset()
+        self.reachable_from: frozenset[str] = frozenset()
 
-    def seen_by(self, name: str) -> _StoreSeen:
-        return _StoreSeen(self, name)
+    def client_of(self, name: str) -> _StoreClient:
+        return _StoreClient(self, name)
 
 
-class _StoreSeen:
-    """The store as one node sees it."""
+class _StoreClient:
+    """Access of one node to the store."""
 
     def __init__(self, store: _Store, name: str) -> None:
         self._store = store
         self._name = name
 
     async def get(self, key: str) -> StoredObject:
-        self._check()
+        self._check_reachable()
         if key not in self._store.objects:
             raise NotFoundError(key)
         return self._store.objects[key]
 
     async def put(self, key: str, value: bytes, expected_revision: int) -> int:
-        self._check()
+        self._check_reachable()
         self._store.objects[key] = StoredObject(key, value, expected_revision + 1)
         return expected_revision + 1
 
-    def _check(self) -> None:
-        if self._name not in self._store.reachable:
-            raise PlatformError("cut off")
+    def _check_reachable(self) -> None:
+        if self._name not in self._store.reachable_from:
+            raise PlatformError("the store is unreachable")
 
 
 class _Node:
-    """What ``SilenceJudge`` and ``ContactExchange`` need of a membership."""
+    """The part of ``Membership`` that ``SilenceJudge`` and ``ContactExchange`` use."""
 
-    def __init__(self, local: Member, store: _Store, time: _Time) -> None:
+    def __init__(self, local: Member, store: _Store, clock: _VirtualClock) -> None:
         self.local = local
-        self.times = TIMES
-        self.contact = Contact(local.name, local.data_centre, 0.0, TIMES)
+        self.contact_timeouts = TIMEOUTS
+        self.contact = ContactTracker(local.name, local.data_centre, 0.0, TIMEOUTS)
         self.members = {local.name: local}
         self.claims: set[tuple[str, int]] = set()
-        self._time = time
-        seen: Any = store.seen_by(local.name)
+        self._clock = clock
+        client: Any = store.client_of(local.name)
         membership: Any = self
-        nothing: Any = None
-        self.judge = SilenceJudge(membership, seen, lambda: time.now)
+        unused: Any = None
+        self.monitor = SilenceJudge(membership, client, lambda: clock.now)
         self.exchange = ContactExchange(
-            membership, nothing, seen, Handlers(), nothing, random.Random(1)
+            membership, unused, client, Handlers(), unused, random.Random(1)
         )
 
-    def recorded(self) -> list[Member]:
+    def recorded_members(self) -> list[Member]:
         return [
             member
             for member in self.members.values()
             if (member.name, member.incarnation) not in self.claims
         ]
 
-    def roster(self) -> set[str]:
-        centre = self.local.data_centre
-        return {m.name for m in self.recorded() if m.data_centre == centre}
+    def data_centre_member_names(self) -> set[str]:
+        data_centre = self.local.data_centre
+        return {m.name for m in self.recorded_members() if m.data_centre == data_centre}
 
-    def claim(self, member: Member, state: MemberState, why: str, now_ms: int) -> None:
+    def publish_claim(
+        self, member: Member, state: MemberState, reason: str, now_ms: int
+    ) -> None:
         self.claims.add((member.name, member.incarnation))
 
     def begin_incarnation(self, at_least: int) -> None:
         self.local = dataclasses.replace(self.local, incarnation=at_least)
         self.members[self.local.name] = self.local
-        self.contact.forget(self._time.now)
+        self.contact.reset(self._clock.now)
 
-    def learn(self, other: _Node) -> None:
-        """Take what a node of the same group tells."""
+    def apply_state_of(self, other: _Node) -> None:
+        """Apply the claims, the record and the contact report of a reachable node."""
         self.claims |= other.claims
         if (self.local.name, self.local.incarnation) in self.claims:
             self.begin_incarnation(self.local.incarnation + 1)
         self.members[other.local.name] = other.local
-        view = other.contact.tell(other.roster(), self._time.now)
+        report = other.contact.build_report(
+            other.data_centre_member_names(), self._clock.now
+        )
         if other.local.data_centre == self.local.data_centre:
-            self.contact.hear(other.local.name, self._time.now)
-        self.contact.take(view, self.roster(), self._time.now)
+            self.contact.record_contact(other.local.name, self._clock.now)
+        self.contact.apply_report(
+            report, self.data_centre_member_names(), self._clock.now
+        )
 
-    def lose(self, name: str) -> None:
+    def mark_unreachable(self, name: str) -> None:
         member = self.members[name]
         if member.state is not MemberState.UNREACHABLE:
             self.members[name] = dataclasses.replace(
@@ -126,13 +132,13 @@
             )
 
 
-def _groupings(names: list[str]) -> Iterator[list[set[str]]]:
-    """Yield every way to split names into groups."""
+def _partitions(names: list[str]) -> Iterator[list[set[str]]]:
+    """Yield every partition of names into groups."""
     if not names:
         yield []
         return
     first, rest = names[0], names[1:]
-    for groups in _groupings(rest):
+    for groups in _partitions(rest):
         for index in range(len(groups)):
             yield [*groups[:index], groups[index] | {first}, *groups[index + 1 :]]
         yield [*groups, {first}]
@@ -145,86 +151,97 @@
             yield frozenset().union(*chosen)
 
 
-class _Walk:
-    """One course of cuts over a few nodes in virtual time."""
+class _Scenario:
+    """A sequence of network partitions between a few nodes in virtual time."""
 
-    def __init__(self, centres: dict[str, str]) -> None:
-        self.time = _Time()
+    def __init__(self, data_centres: dict[str, str]) -> None:
+        self.clock = _VirtualClock()
         self.store = _Store()
         members = [
-            Member(name, 1, 1, "127.0.0.1", 1, centre, "region")
-            for name, centre in centres.items()
+            Member(name, 1, 1, "127.0.0.1", 1, data_centre, "region")
+            for name, data_centre in data_centres.items()
         ]
-        self.nodes = {m.name: _Node(m, self.store, self.time) for m in members}
+        self.nodes = {m.name: _Node(m, self.store, self.clock) for m in members}
         for node in self.nodes.values():
             node.members = {member.name: member for member in members}
 
     async def run(
-        self, groups: list[set[str]], store_reachable: frozenset[str], steps: int
+        self,
+        groups: list[set[str]],
+        store_reachable_from: frozenset[str],
+        duration_s: int,
     ) -> None:
-        """Let time pass while only members of a group hear one another."""
-        self.store.reachable = store_reachable
-        for _ in range(0, steps, STEP_S):
-            self.time.now += STEP_S
+        """Advance the time while only the members of a group reach one another."""
+        self.store.reachable_from = store_reachable_from
+        for _ in range(0, duration_s, STEP_S):
+            self.clock.now += STEP_S
             for group in groups:
-                self._talk(group)
+                self._exchange_state(group)
             for node in self.nodes.values():
-                node.contact.advance(node.roster(), self.time.now)
-                await node.exchange.check_store(self.time.now)
-                await node.judge.step(self.time.now)
-            self._check()
+                node.contact.update(node.data_centre_member_names(), self.clock.now)
+                await node.exchange.check_store(self.clock.now)
+                await node.monitor.check(self.clock.now)
+            self._check_no_serving_member_is_gone()
 
-    def _talk(self, group: set[str]) -> None:
+    def _exchange_state(self, group: set[str]) -> None:
         for a, b in itertools.permutations(sorted(group), 2):
-            self.nodes[a].learn(self.nodes[b])
+            self.nodes[a].apply_state_of(self.nodes[b])
         for name in group:
             for other in self.nodes.keys() - group:
-                self.nodes[name].lose(other)
+                self.nodes[name].mark_unreachable(other)
 
-    def _check(self) -> None:
+    def _check_no_serving_member_is_gone(self) -> None:
         claims = set().union(*(node.claims for node in self.nodes.values()))
         for node in self.nodes.values():
-            held = (node.local.name, node.local.incarnation) in claims
-            if held and not node.contact.is_fenced(self.time.now):
+            is_claimed = (node.local.name, node.local.incarnation) in claims
+            if is_claimed and not node.contact.is_fenced(self.clock.now):
                 raise AssertionError(f"{node.local.name} serves but is declared gone")
 
 
 class GoneSafetyTest(unittest.TestCase):
-    def _walk_all(self, centres: dict[str, str], rejoin: bool) -> int:
-        names = list(centres)
-        whole = [set(names)]
-        declared = 0
-
-        async def body() -> None:
-            nonlocal declared
-            splits = list(_groupings(names))
-            for first in splits:
-                places = list(_unions(first))
-                if not rejoin:
-                    seconds = [(whole, frozenset(names))]
+    def _run_scenarios(self, data_centres: dict[str, str], two_partitions: bool) -> int:
+        """Run every scenario and return how many of them declared a member gone."""
+        names = list(data_centres)
+        connected = [set(names)]
+        declared_count = 0
+
+        async def run_all() -> None:
+            nonlocal declared_count
+            partitions = list(_partitions(names))
+            for first in partitions:
+                store_groups = list(_unions(first))
+                if not two_partitions:
+                    seconds = [(connected, frozenset(names))]
                 else:
-                    places = [frozenset(), frozenset(names)]
-                    seconds = list(itertools.product(splits, places))
-                for place, (second, later) in itertools.product(places, seconds):
-                    walk = _Walk(centres)
-                    await walk.run(whole, frozenset(names), SETTLED_S)
-                    await walk.run(first, place, SHORT_CUT_S if rejoin else CUT_S)
-                    if rejoin:
-                        await walk.run(second, later, CUT_S)
-                    declared += any(n.claims for n in walk.nodes.values())
-                    await walk.run(whole, frozenset(names), HEAL_S)
-
-        trio.run(body)
-        return declared
-
-    def test_every_cut_of_one_data_centre(self) -> None:
-        centres = dict.fromkeys("abcd", "x")
-        self.assertGreater(self._walk_all(centres, False), 0)
-
-    def test_every_cut_of_two_data_centres(self) -> None:
-        centres = {"a": "x", "b": "x", "c": "x", "d": "y", "e": "y"}
-        self.assertGreater(self._walk_all(centres, False), 0)
-
-    def test_every_two_cuts_in_a_row(self) -> None:
-        centres = {"a": "x", "b": "x", "c": "x", "d": "y"}
-        self.assertGreater(self._walk_all(centres, True), 0)
+                    store_groups = [frozenset(), frozenset(names)]
+                    seconds = list(itertools.product(partitions, store_groups))
+                for first_store_group, (
+                    second,
+                    second_store_group,
+                ) in itertools.product(store_groups, seconds):
+                    scenario = _Scenario(data_centres)
+                    await scenario.run(connected, frozenset(names), SETTLE_S)
+                    await scenario.run(
+                        first,
+                        first_store_group,
+                        SHORT_PARTITION_S if two_partitions else PARTITION_S,
+                    )
+                    if two_partitions:
+                        await scenario.run(second, second_store_group, PARTITION_S)
+                    declared_count += any(n.claims for n in scenario.nodes.values())
+                    await scenario.run(connected, frozenset(names), RECOVERY_S)
+
+        trio.run(run_all)
+        return declared_count
+
+    def test_no_serving_member_is_gone_in_one_partitioned_data_centre(self) -> None:
+        data_centres = dict.fromkeys("abcd", "x")
+        self.assertGreater(self._run_scenarios(data_centres, False), 0)
+
+    def test_no_serving_member_is_gone_in_two_partitioned_data_centres(self) -> None:
+        data_centres = {"a": "x", "b": "x", "c": "x", "d": "y", "e": "y"}
+        self.assertGreater(self._run_scenarios(data_centres, False), 0)
+
+    def test_no_serving_member_is_gone_in_two_consecutive_partitions(self) -> None:
+        data_centres = {"a": "x", "b": "x", "c": "x", "d": "y"}
+        self.assertGreater(self._run_scenarios(data_centres, True), 0)
--- a/tests/test_membership/test_herd.py
+++ b/tests/test_membership/test_herd.py
@@ -1,26 +1,26 @@
-"""Many members that end or start at once, as real processes."""
+"""Many members that end or start at the same time, as real processes."""
 
 from __future__ import annotations
 
 from tests.support.membership import MembershipTestCase
 
 
-class HerdTest(MembershipTestCase):
+class MassRestartTest(MembershipTestCase):
     centres = 2
     per_centre = 4
 
-    def test_half_the_members_end_and_all_restart(self) -> None:
-        self.run_async(self._herd, 90)
+    def test_members_agree_after_half_are_killed_and_after_all_restart(self) -> None:
+        self.run_async(self._kill_and_restart, 90)
 
-    async def _herd(self) -> None:
+    async def _kill_and_restart(self) -> None:
         self.start_nodes()
         names = [vm.name for vm in self.mesh.plan.vms]
         await self.wait_for_all(names)
-        ended, left = names[::2], names[1::2]
-        for name in ended:
+        killed, remaining = names[::2], names[1::2]
+        for name in killed:
             self.mesh.kill(name)
-        await self.wait_for_all(left)
-        for name in left:
+        await self.wait_for_all(remaining)
+        for name in remaining:
             self.mesh.kill(name)
         for name in names:
             self.start_node(name)
--- a/tests/test_membership/test_leaving.py
+++ b/tests/test_membership/test_leaving.py
@@ -1,4 +1,4 @@
-"""Members that end, stop or come back, as real processes."""
+"""Members that are killed, stopped or restarted, as real processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     centres = 1
     per_centre = 3
 
-    def test_killed_member_is_gone_because_its_address_refuses(self) -> None:
+    def test_killed_member_is_gone_and_returns_with_a_later_incarnation(self) -> None:
         self.run_async(self._kill_and_restart, 60)
 
     async def _kill_and_restart(self) -> None:
@@ -27,13 +27,13 @@
         claims = self.events("claim")
         self.assertTrue(claims)
         self.assertTrue(all("refuses connections" in c["text"] for c in claims))
-        before = max(claim["incarnation"] for claim in claims)
+        claimed_incarnation = max(claim["incarnation"] for claim in claims)
         self.start_node(SECOND)
         await self.wait_for_all([FIRST, SECOND, THIRD])
         joined = self.events("alive", lambda e: e["member"] == SECOND)
-        self.assertGreater(max(e["incarnation"] for e in joined), before)
+        self.assertGreater(max(e["incarnation"] for e in joined), claimed_incarnation)
 
-    def test_stopped_member_says_that_it_leaves(self) -> None:
+    def test_stopped_member_is_gone_without_a_claim(self) -> None:
         self.run_async(self._stop, 60)
 
     async def _stop(self) -> None:
--- a/tests/test_membership/test_pause.py
+++ b/tests/test_membership/test_pause.py
@@ -1,4 +1,4 @@
-"""A member that is paused past its declaration and resumes."""
+"""A paused member that is declared gone before it resumes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,12 @@
 
 import trio
 
-from tests.support.membership import FENCED, NO_BUNDLE, SETTLE_S, MembershipTestCase
+from tests.support.membership import (
+    FENCED_CODE,
+    NO_BUNDLE_CODE,
+    SETTLE_S,
+    MembershipTestCase,
+)
 
 FIRST = "cartago-norte-1"
 SECOND = "cartago-norte-2"
@@ -17,7 +22,7 @@
     centres = 1
     per_centre = 3
 
-    def test_paused_member_is_declared_gone_and_joins_anew(self) -> None:
+    def test_paused_member_is_gone_and_rejoins_with_a_later_incarnation(self) -> None:
         self.run_async(self._pause, 90)
 
     async def _pause(self) -> None:
@@ -28,10 +33,10 @@
         await self.wait_for_state(FIRST, SECOND, "unreachable")
         await self.wait_for_state(THIRD, SECOND, "gone")
         self.send_signal(SECOND, signal.SIGCONT)
-        self.assertEqual(await self.code_of(SECOND), FENCED)
+        self.assertEqual(await self.refusal_code(SECOND), FENCED_CODE)
         await self.wait_for_all([FIRST, SECOND, THIRD])
         with trio.fail_after(5):
-            while await self.code_of(SECOND) != NO_BUNDLE:
+            while await self.refusal_code(SECOND) != NO_BUNDLE_CODE:
                 await trio.sleep(0.1)
         gone = self.events("gone", lambda e: e["member"] == SECOND)
         joined = self.events("alive", lambda e: e["member"] == SECOND)
--- a/tests/test_membership/test_probe.py
+++ b/tests/test_membership/test_probe.py
@@ -1,4 +1,4 @@
-"""Investigation of lost peers."""
+"""Probes of lost peers that are reached."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import trio.testing
 
 from marigoldchute.link.handlers import Handlers
-from marigoldchute.membership.losses import Losses
+from marigoldchute.membership.losses import LostPeers
 from marigoldchute.membership.model import Member
 from marigoldchute.membership.probe import Prober
 
@@ -19,7 +19,7 @@
     from marigoldchute.link.methods import Method
 
 LOCAL, PEER, OTHER = "a", "b", "c"
-LONG_S = 60.0
+RUN_S = 60.0
 
 
 def _member(name: str) -> Member:
@@ -27,7 +27,7 @@
 
 
 class _Endpoint:
-    """Reaches every address and counts the connections."""
+    """Endpoint that reaches every address and counts its connections."""
 
     def __init__(self) -> None:
         self.connections = 0
@@ -39,30 +39,30 @@
 
 
 class _Membership:
-    """Three members of one data centre; which links are wanted is given."""
+    """Membership of three members of one data centre, with given wanted links."""
 
     def __init__(self, wanted: set[str]) -> None:
         self.local = _member(LOCAL)
-        self.losses = Losses()
+        self.lost_peers = LostPeers()
         self.claims: list[str] = []
         self._members = {name: _member(name) for name in (LOCAL, PEER, OTHER)}
         self._wanted = wanted
 
-    def record_of(self, name: str) -> Member | None:
+    def get_recorded(self, name: str) -> Member | None:
         return self._members.get(name)
 
-    def recorded(self) -> list[Member]:
+    def recorded_members(self) -> list[Member]:
         return list(self._members.values())
 
     def wanted(self) -> dict[str, tuple[str, int]]:
         return {name: ("127.0.0.1", 7000) for name in self._wanted}
 
-    def claim(self, member: Member, *args: object) -> None:
+    def publish_claim(self, member: Member, *args: object) -> None:
         self.claims.append(member.name)
 
 
 class _Helper:
-    """A linked peer that is not asked with success."""
+    """Linked peer that sends no valid response to a probe request."""
 
     peer = SimpleNamespace(name=OTHER, data_centre="centre")
 
@@ -71,28 +71,28 @@
 
 
 class ProberTest(unittest.TestCase):
-    def _investigate(self, wanted: set[str]) -> tuple[_Membership, _Endpoint]:
+    def _run_prober(self, wanted: set[str]) -> tuple[_Membership, _Endpoint]:
         membership, endpoint = _Membership(wanted), _Endpoint()
         overlay = SimpleNamespace(
             is_linked=lambda name: False, neighbours=lambda: [_Helper()]
         )
-        parts: list[Any] = [membership, endpoint, overlay, Handlers()]
-        prober = Prober(*parts, random.Random(1))
+        args: list[Any] = [membership, endpoint, overlay, Handlers()]
+        prober = Prober(*args, random.Random(1))
 
         async def run() -> None:
-            membership.losses.add(PEER, False, trio.current_time())
-            with trio.move_on_after(LONG_S):
+            membership.lost_peers.record_failure(PEER, False, trio.current_time())
+            with trio.move_on_after(RUN_S):
                 await prober.run()
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
         return membership, endpoint
 
-    def test_reached_peer_without_a_wanted_link_is_probed_once(self) -> None:
-        membership, endpoint = self._investigate(set())
+    def test_reached_peer_without_a_wanted_link_is_probed_only_once(self) -> None:
+        membership, endpoint = self._run_prober(set())
         self.assertEqual(endpoint.connections, 1)
         self.assertEqual(membership.claims, [])
 
-    def test_reached_peer_with_a_wanted_link_stays_lost(self) -> None:
-        membership, endpoint = self._investigate({PEER})
+    def test_reached_peer_with_a_wanted_link_is_probed_repeatedly(self) -> None:
+        membership, endpoint = self._run_prober({PEER})
         self.assertGreater(endpoint.connections, 1)
         self.assertEqual(membership.claims, [])
--- a/tests/test_membership/test_records.py
+++ b/tests/test_membership/test_records.py
@@ -1,4 +1,4 @@
-"""Member records: order, refutation and expiry."""
+"""Ranks, refutation and expiry of member records."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return Membership(cfg, 10, table, log)  # type: ignore[arg-type]
 
 
-def _write(kind: int, incarnation: int, sequence: int) -> Record:
+def _record(kind: int, incarnation: int, sequence: int) -> Record:
     member = dataclasses.replace(MEMBER, incarnation=incarnation, sequence=sequence)
     if kind == 0:
         return own_record(member)
@@ -45,48 +45,51 @@
         ),
         st.integers(0, 1000),
     )
-    def test_members_agree_whatever_the_order(
-        self, writes: list[tuple[int, int, int]], seed: int
+    def test_result_does_not_depend_on_the_order_of_records(
+        self, inputs: list[tuple[int, int, int]], seed: int
     ) -> None:
-        records = [_write(*write) for write in writes]
-        seen = []
-        for order in (records, random.Random(seed).sample(records, len(records))):
+        records = [_record(*item) for item in inputs]
+        results = []
+        for arrival_order in (
+            records,
+            random.Random(seed).sample(records, len(records)),
+        ):
             table = RecordTable()
             membership = _membership(table)
-            for record in order:
+            for record in arrival_order:
                 table.offer(record)
-            member = membership.record_of("b")
+            member = membership.get_recorded("b")
             assert member is not None
-            seen.append((member.incarnation, member.sequence, member.state))
-        gone = [w for w in writes if w[0] == 2]
+            results.append((member.incarnation, member.sequence, member.state))
+        gone = [values for values in inputs if values[0] == 2]
         if not gone:
-            self.assertEqual(seen[0], seen[1])
-        self.assertEqual(seen[0][0], seen[1][0])
-        self.assertEqual(seen[0][2], seen[1][2])
+            self.assertEqual(results[0], results[1])
+        self.assertEqual(results[0][0], results[1][0])
+        self.assertEqual(results[0][2], results[1][2])
 
-    def test_stale_rumour_does_not_bring_a_member_back(self) -> None:
+    def test_gone_member_returns_only_with_a_later_incarnation(self) -> None:
         table = RecordTable()
         membership = _membership(table)
         table.offer(claim_record(MEMBER, MemberState.GONE, wall_clock_ms()))
-        late = dataclasses.replace(MEMBER, sequence=9)
-        self.assertFalse(table.offer(own_record(late)))
+        same_incarnation = dataclasses.replace(MEMBER, sequence=9)
+        self.assertFalse(table.offer(own_record(same_incarnation)))
         self.assertEqual([m.name for m in membership.all()], ["a"])
-        again = dataclasses.replace(MEMBER, incarnation=6, sequence=0)
-        self.assertTrue(table.offer(own_record(again)))
+        later_incarnation = dataclasses.replace(MEMBER, incarnation=6, sequence=0)
+        self.assertTrue(table.offer(own_record(later_incarnation)))
         self.assertEqual(len(membership.all()), 2)
 
-    def test_refutation_outranks_the_claim(self) -> None:
+    def test_next_sequence_outranks_a_claim_of_unreachability(self) -> None:
         table = RecordTable()
         membership = _membership(table)
         table.offer(own_record(MEMBER))
         table.offer(claim_record(MEMBER, MemberState.UNREACHABLE, 0))
-        refuted = dataclasses.replace(MEMBER, sequence=2)
-        self.assertTrue(table.offer(own_record(refuted)))
+        refutation = dataclasses.replace(MEMBER, sequence=2)
+        self.assertTrue(table.offer(own_record(refutation)))
         member = membership.get("b")
         assert member is not None
         self.assertIs(member.state, MemberState.ALIVE)
 
-    def test_records_of_gone_members_expire_and_are_not_taken_again(self) -> None:
+    def test_records_of_gone_members_expire_and_are_not_accepted_again(self) -> None:
         table = RecordTable()
         membership = _membership(table)
         now_ms = wall_clock_ms()
@@ -95,25 +98,25 @@
         self.assertIsNotNone(table.get(RecordKind.MEMBER, "b"))
         membership.expire_tombstones(now_ms + TOMBSTONE_TTL_MS + 1)
         self.assertIsNone(table.get(RecordKind.MEMBER, "b"))
-        old = claim_record(MEMBER, MemberState.GONE, now_ms - TOMBSTONE_TTL_MS - 1)
-        self.assertFalse(table.offer(old))
+        expired = claim_record(MEMBER, MemberState.GONE, now_ms - TOMBSTONE_TTL_MS - 1)
+        self.assertFalse(table.offer(expired))
 
-    def test_cut_data_centre_is_shown_without_records(self) -> None:
+    def test_unreachable_data_centre_is_listed_without_new_records(self) -> None:
         table = RecordTable()
         membership = _membership(table)
         table.offer(own_record(dataclasses.replace(MEMBER, data_centre="other")))
         digests = table.digests()
-        membership.set_cut_centres(frozenset({"other"}))
+        membership.set_unreachable_data_centres(frozenset({"other"}))
         member = membership.get("b")
         assert member is not None
         self.assertIs(member.state, MemberState.UNREACHABLE)
         self.assertIn("b", membership.wanted())
-        membership.set_cut_centres(frozenset())
+        membership.set_unreachable_data_centres(frozenset())
         self.assertEqual(table.digests(), digests)
 
 
 class SupersededTest(unittest.TestCase):
-    def test_later_vm_of_the_same_name_ends_the_serving_of_this_one(self) -> None:
+    def test_node_is_fenced_when_a_later_vm_has_the_same_name(self) -> None:
         table = RecordTable()
         membership = _membership(table)
         other = dataclasses.replace(
@@ -123,9 +126,9 @@
         self.assertTrue(membership.fenced)
         self.assertEqual(membership.local.incarnation, 10)
 
-    def test_former_process_at_this_address_is_followed(self) -> None:
+    def test_incarnation_exceeds_that_of_an_earlier_process_here(self) -> None:
         table = RecordTable()
         membership = _membership(table)
-        former = dataclasses.replace(membership.local, incarnation=10**15)
-        table.offer(own_record(former))
+        earlier = dataclasses.replace(membership.local, incarnation=10**15)
+        table.offer(own_record(earlier))
         self.assertGreater(membership.local.incarnation, 10**15)
--- a/tests/test_membership/test_seed_slots.py
+++ b/tests/test_membership/test_seed_slots.py
@@ -1,4 +1,4 @@
-"""Slots that hold the seeds of a data centre."""
+"""Slots for the seeds of a data centre in the store."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import trio
 
 from marigoldchute.membership.model import Member
-from marigoldchute.membership.seeds import SLOTS, SeedKeeper
+from marigoldchute.membership.seeds import SLOT_COUNT, SeedKeeper
 from tests.support.fake_store import FakeStore
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
 
 
 class _CountingStore(FakeStore):
-    """Counts calls."""
+    """Store that counts its calls."""
 
     calls = 0
 
@@ -30,55 +30,55 @@
         return await super().put(key, value, expected_revision)
 
 
-class _Members:
-    """A data centre as one of its members knows it."""
+class _Membership:
+    """Membership of one member of a data centre."""
 
-    def __init__(self, name: str, known: list[str]) -> None:
-        self._known = {
-            n: Member(n, 1, 1, f"127.0.0.{n}", 7000, "dc", "region") for n in known
+    def __init__(self, name: str, names: list[str]) -> None:
+        self._members = {
+            n: Member(n, 1, 1, f"127.0.0.{n}", 7000, "dc", "region") for n in names
         }
-        self.local = self._known[name]
-        self.strangers: list[tuple[str, int]] = []
+        self.local = self._members[name]
+        self.one_time_addresses: list[tuple[str, int]] = []
 
-    def recorded(self) -> list[Member]:
-        return list(self._known.values())
+    def recorded_members(self) -> list[Member]:
+        return list(self._members.values())
 
-    def record_of(self, name: str) -> Member | None:
-        return self._known.get(name)
+    def get_recorded(self, name: str) -> Member | None:
+        return self._members.get(name)
 
-    def add_stranger(self, address: str, port: int) -> None:
-        self.strangers.append((address, port))
+    def add_one_time_address(self, address: str, port: int) -> None:
+        self.one_time_addresses.append((address, port))
 
 
-def _keeper(members: _Members, store: FakeStore) -> SeedKeeper:
+def _keeper(members: _Membership, store: FakeStore) -> SeedKeeper:
     membership: Any = members
-    nothing: Any = None
-    seen: Any = store
-    return SeedKeeper(membership, nothing, seen, random.Random(1))
+    overlay: Any = None
+    object_store: Any = store
+    return SeedKeeper(membership, overlay, object_store, random.Random(1))
 
 
 class SeedSlotsTest(unittest.TestCase):
-    def test_calls_do_not_depend_on_the_number_of_members(self) -> None:
+    def test_number_of_calls_does_not_depend_on_the_number_of_members(self) -> None:
         async def count(size: int) -> int:
             names = [str(i) for i in range(size)]
             store = _CountingStore()
             for name in names:
-                keeper = _keeper(_Members(name, names), store)
+                keeper = _keeper(_Membership(name, names), store)
                 for now in range(0, 290, 3):
-                    await keeper.hold(float(now))
-            self.assertEqual(len(store.objects), SLOTS)
+                    await keeper.update_slot(float(now))
+            self.assertEqual(len(store.objects), SLOT_COUNT)
             return store.calls
 
-        self.assertEqual(trio.run(count, 10), 2 * SLOTS)
-        self.assertEqual(trio.run(count, 60), 2 * SLOTS)
+        self.assertEqual(trio.run(count, 10), 2 * SLOT_COUNT)
+        self.assertEqual(trio.run(count, 60), 2 * SLOT_COUNT)
 
-    def test_two_meshes_meet_over_a_slot(self) -> None:
+    def test_unknown_slot_holder_of_another_mesh_is_dialled(self) -> None:
         async def body() -> None:
             store = FakeStore()
-            ours = _Members("1", ["1"])
-            theirs = _Members("2", ["2"])
-            await _keeper(ours, store).hold(0.0)
-            await _keeper(theirs, store).hold(0.0)
-            self.assertEqual(theirs.strangers, [("127.0.0.1", 7000)])
+            first = _Membership("1", ["1"])
+            second = _Membership("2", ["2"])
+            await _keeper(first, store).update_slot(0.0)
+            await _keeper(second, store).update_slot(0.0)
+            self.assertEqual(second.one_time_addresses, [("127.0.0.1", 7000)])
 
         trio.run(body)
--- a/tests/test_membership/test_seeds.py
+++ b/tests/test_membership/test_seeds.py
@@ -1,4 +1,4 @@
-"""Joining through the seeds of the store."""
+"""Joining a mesh through the seeds of the store and of the settings."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     centres = 1
     per_centre = 3
 
-    def test_nodes_join_through_the_store_and_without_it_through_settings(
+    def test_nodes_join_through_the_store_or_through_settings_without_it(
         self,
     ) -> None:
         self.run_async(self._join, 60)
--- a/tests/test_membership/test_single_faults.py
+++ b/tests/test_membership/test_single_faults.py
@@ -1,4 +1,4 @@
-"""Faults between single members, behind the fault-injecting proxy."""
+"""Network faults between single members, made by the fault-injecting proxy."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from marigoldchute.standins.faultproxy import Action, Rule
 from tests.support.membership import (
-    FENCED,
-    NO_BUNDLE,
+    FENCED_CODE,
+    NO_BUNDLE_CODE,
     SETTLE_S,
     MembershipTestCase,
 )
@@ -22,10 +22,10 @@
     centres = 1
     proxied = True
 
-    def test_fault_between_two_members_changes_no_state(self) -> None:
-        self.run_async(self._cut_pair, 60)
+    def test_partition_between_two_members_changes_no_state(self) -> None:
+        self.run_async(self._partition_pair, 60)
 
-    async def _cut_pair(self) -> None:
+    async def _partition_pair(self) -> None:
         self.start_nodes()
         await self.wait_for_all(MEMBERS)
         await self.mesh.set_faults(Rule(FIRST, SECOND, Action.DROP))
@@ -33,10 +33,10 @@
         await self.wait_for_all(MEMBERS)
         self.assertEqual(self.events("claim"), [])
 
-    def test_silent_connections_are_replaced(self) -> None:
-        self.run_async(self._silence, 60)
+    def test_stalled_connections_are_replaced(self) -> None:
+        self.run_async(self._stall_connections, 60)
 
-    async def _silence(self) -> None:
+    async def _stall_connections(self) -> None:
         self.start_nodes()
         await self.wait_for_all(MEMBERS)
         await trio.sleep(1)
@@ -49,7 +49,7 @@
         self.assertGreater(after.control_bytes_received, before.control_bytes_received)
         self.assertEqual(self.events("claim"), [])
 
-    def test_cut_off_member_fences_itself_until_it_hears_again(self) -> None:
+    def test_isolated_member_is_fenced_until_contact_returns(self) -> None:
         self.run_async(self._isolate, 60)
 
     async def _isolate(self) -> None:
@@ -58,12 +58,12 @@
         await trio.sleep(SETTLE_S)
         await self.mesh.set_faults(Rule(FIRST, "*", Action.DROP))
         with trio.fail_after(14):
-            while await self.code_of(FIRST) != FENCED:
+            while await self.refusal_code(FIRST) != FENCED_CODE:
                 await trio.sleep(0.1)
         await self.wait_for_state(SECOND, FIRST, "unreachable")
-        self.assertEqual(await self.code_of(SECOND), NO_BUNDLE)
+        self.assertEqual(await self.refusal_code(SECOND), NO_BUNDLE_CODE)
         await self.mesh.set_faults()
         with trio.fail_after(10):
-            while await self.code_of(FIRST) != NO_BUNDLE:
+            while await self.refusal_code(FIRST) != NO_BUNDLE_CODE:
                 await trio.sleep(0.1)
         await self.wait_for_all(MEMBERS)
