--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,4 +1,4 @@
-"""nose2 plugin that passes over exactly the failures listed in KNOWN-RED.txt."""
+"""nose2 plugin that tolerates only the test failures listed in KNOWN-RED.txt."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 def read_known_red(path: pathlib.Path = KNOWN_RED_PATH) -> dict[str, str]:
-    """Return the listed test ids with the rest of their entries.
+    """Return the entries of KNOWN-RED.txt by test id.
 
     Parameters
     ----------
     path : pathlib.Path
-        File with one ``test id | command and seed | seen | issue`` entry a line, by
-        default the one in the current directory; nothing is listed without a file.
+        File with one ``test id | command and seed | result | issue`` entry per line,
+        by default the one in the current directory. A missing file has no entries.
 
     Returns
     -------
     dict of str to str
-        Entry text by test id.
+        Text of the entry after the test id, by test id.
     """
     entries: dict[str, str] = {}
     if not path.exists():
@@ -36,7 +36,7 @@
 
 
 class KnownRed(Plugin):
-    """Turns a listed failure into an expected one and counts outcomes."""
+    """Counts test outcomes and reports listed failures as skipped."""
 
     configSection = "known-red"
     alwaysOn = True
@@ -46,26 +46,26 @@
         self.passed = 0
         self.failed = 0
         self.skipped = 0
-        self.known: list[str] = []
-        self.mended: list[str] = []
+        self.known_failures: list[str] = []
+        self.unexpected_passes: list[str] = []
 
     def setTestOutcome(self, event) -> None:
-        """Mark a listed failure as expected."""
+        """Change the outcome of a listed failure to skipped."""
         test_id = event.test.id().partition(" ")[0]
         if _has_failed(event) and test_id in self.entries:
             event.outcome = "skipped"
             event.reason = KNOWN_RED_REASON
             event.exc_info = None
-            self.known.append(test_id)
+            self.known_failures.append(test_id)
 
     def testOutcome(self, event) -> None:
-        """Count one outcome."""
+        """Count the outcome of one test or subtest."""
         if _has_failed(event):
             self.failed += 1
         elif event.outcome == "passed":
             self.passed += 1
             if event.test.id() in self.entries:
-                self.mended.append(event.test.id())
+                self.unexpected_passes.append(event.test.id())
         elif event.outcome == "skipped" and event.reason != KNOWN_RED_REASON:
             self.skipped += 1
 
--- a/tools/proofs.py
+++ b/tools/proofs.py
@@ -1,4 +1,4 @@
-"""Runs the proofs of docs/PROOFS.md and prints the table of what was seen."""
+"""Runs the proofs listed in docs/PROOFS.md and prints their results."""
 
 from __future__ import annotations
 
@@ -11,14 +11,26 @@
 
 from tools.run_tests import ShardRun, run_shard
 
-PAGE = pathlib.Path("docs/PROOFS.md")
+PROOFS_PATH = pathlib.Path("docs/PROOFS.md")
 SEED_VARIABLE = "MARIGOLDCHUTE_SEED"
 STATES = ("proved", "partial", "not proved")
 
 
 @dataclasses.dataclass(frozen=True)
-class Promise:
-    """One line of what must always hold, and how far it is proved."""
+class Guarantee:
+    """A row of the page's first table.
+
+    Parameters
+    ----------
+    number : int
+        Number of the guarantee on the page.
+    text : str
+        Property that the system must always have.
+    state : str
+        One of ``STATES``.
+    missing : str
+        What no test covers yet.
+    """
 
     number: int
     text: str
@@ -28,23 +40,35 @@
 
 @dataclasses.dataclass(frozen=True)
 class Proof:
-    """One test that shows a promise."""
+    """A test that checks a guarantee.
+
+    Parameters
+    ----------
+    guarantee_number : int
+        Number of the guarantee on the page.
+    test : str
+        Id of a test, test class or test module.
+    seed : int
+        Seed to run it with.
+    description : str
+        What the test checks.
+    """
 
-    number: int
+    guarantee_number: int
     test: str
     seed: int
-    shows: str
+    description: str
 
 
-def read_page(text: str) -> tuple[list[Promise], list[Proof]]:
-    """Return the promises and the proofs of the page.
+def parse_proofs_page(text: str) -> tuple[list[Guarantee], list[Proof]]:
+    """Parse docs/PROOFS.md into its guarantees and proofs.
 
     Raises
     ------
     ValueError
-        A row that has a number is neither.
+        A numbered row is neither a proof nor a guarantee with a known state.
     """
-    promises: list[Promise] = []
+    guarantees: list[Guarantee] = []
     proofs: list[Proof] = []
     for line in text.splitlines():
         cells = [cell.strip() for cell in line.strip().strip("|").split("|")]
@@ -54,54 +78,60 @@
         if second.startswith("`"):
             proofs.append(Proof(number, second.strip("`"), int(third), fourth))
         elif third in STATES:
-            promises.append(Promise(number, second, third, fourth))
+            guarantees.append(Guarantee(number, second, third, fourth))
         else:
             raise ValueError(f"state {third!r} is not one of {STATES}")
-    return promises, proofs
+    return guarantees, proofs
 
 
-def describe(run: ShardRun) -> str:
-    """Return what was seen of one test."""
-    if run.problem or run.result is None:
-        return f"process {run.problem}"
-    seen = f"{run.result.passed} passed, {run.result.failed} failed"
-    return f"{seen}, {len(run.result.known)} known red" if run.result.known else seen
+def describe_run(run: ShardRun) -> str:
+    """Return the test counts of a run, or why its process failed."""
+    if run.process_error or run.result is None:
+        return f"process {run.process_error}"
+    counts = f"{run.result.passed} passed, {run.result.failed} failed"
+    return (
+        f"{counts}, {len(run.result.known)} known red" if run.result.known else counts
+    )
 
 
 def has_passed(run: ShardRun) -> bool:
-    """Whether a test ran and nothing in it failed, listed failures included."""
+    """Return whether tests passed and none failed, not even a known-red one."""
     result = run.result
-    if run.problem or result is None or result.known:
+    if run.process_error or result is None or result.known:
         return False
     return result.passed > 0 and result.failed == 0
 
 
 def main() -> int:
-    """Run the proofs; return 1 when one failed."""
+    """Run the proofs and return exit status 1 if one failed, else 0."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seed", type=int, help="in place of the seeds of the page")
+    parser.add_argument(
+        "--seed", type=int, help="seed to use instead of those on the page"
+    )
     args = parser.parse_args()
-    promises, proofs = read_page(PAGE.read_text(encoding="utf-8"))
+    guarantees, proofs = parse_proofs_page(PROOFS_PATH.read_text(encoding="utf-8"))
     runs: dict[tuple[str, int], tuple[ShardRun, float]] = {}
-    for promise in promises:
-        print(f"\n{promise.number}. {promise.text}\n   {promise.state}", flush=True)
-        if promise.missing:
-            print(f"   missing: {promise.missing}")
+    for guarantee in guarantees:
+        print(
+            f"\n{guarantee.number}. {guarantee.text}\n   {guarantee.state}", flush=True
+        )
+        if guarantee.missing:
+            print(f"   missing: {guarantee.missing}")
         for proof in proofs:
-            if proof.number == promise.number:
-                _run(proof, args.seed, runs)
-    failed = sorted(
+            if proof.guarantee_number == guarantee.number:
+                _run_and_print(proof, args.seed, runs)
+    failed_tests = sorted(
         {name for (name, _), (run, _) in runs.items() if not has_passed(run)}
     )
-    for name in failed:
+    for name in failed_tests:
         print(f"\nfailed: {name}")
-    states = [promise.state for promise in promises]
+    states = [guarantee.state for guarantee in guarantees]
     counts = ", ".join(f"{states.count(state)} {state}" for state in STATES)
-    print(f"\n{counts}; {len(runs) - len(failed)} of {len(runs)} proofs passed")
-    return 1 if failed else 0
+    print(f"\n{counts}; {len(runs) - len(failed_tests)} of {len(runs)} proofs passed")
+    return 1 if failed_tests else 0
 
 
-def _run(
+def _run_and_print(
     proof: Proof,
     seed: int | None,
     runs: dict[tuple[str, int], tuple[ShardRun, float]],
@@ -114,10 +144,10 @@
         runs[key] = (run, time.monotonic() - start)
         if not has_passed(run):
             print(run.output)
-    run, taken_s = runs[key]
-    verdict = "holds" if has_passed(run) else "FAILED"
-    print(f"   {verdict:<6} {proof.test} (seed {key[1]}, {taken_s:.1f} s)")
-    print(f"          {describe(run)}: {proof.shows}", flush=True)
+    run, duration_s = runs[key]
+    outcome = "holds" if has_passed(run) else "FAILED"
+    print(f"   {outcome:<6} {proof.test} (seed {key[1]}, {duration_s:.1f} s)")
+    print(f"          {describe_run(run)}: {proof.description}", flush=True)
 
 
 if __name__ == "__main__":
--- a/tools/run_shard.py
+++ b/tools/run_shard.py
@@ -1,4 +1,4 @@
-"""Runs some test modules in this process and writes what they came to."""
+"""Runs test modules in this process and writes their result to a JSON file."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class ShardResult:
-    """Outcome of the tests of one process.
+    """Result of the tests of one process.
 
     Parameters
     ----------
     passed, failed, skipped : int
         Numbers of tests; a failed subtest counts as a failed test.
     known, mended : tuple of str
-        Ids listed as known red that failed and that passed.
+        Ids of known-red tests that failed, and of known-red tests that passed.
     """
 
     passed: int = 0
@@ -32,7 +32,7 @@
 
 
 def read_result(path: pathlib.Path) -> ShardResult | None:
-    """Return the result that a process wrote, or None when it wrote none."""
+    """Return the result that a process wrote, or None if it is missing or invalid."""
     try:
         values = json.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError):
@@ -43,16 +43,16 @@
 
 
 def main() -> None:
-    """Run the modules named after the result file on the command line."""
+    """Run the modules given on the command line after the result file."""
     path, *names = sys.argv[1:]
     program = nose2.main(module=None, exit=False, argv=["nose2", *names])
-    counts = next(p for p in program.session.plugins if isinstance(p, KnownRed))
+    plugin = next(p for p in program.session.plugins if isinstance(p, KnownRed))
     result = ShardResult(
-        counts.passed,
-        counts.failed,
-        counts.skipped,
-        tuple(counts.known),
-        tuple(counts.mended),
+        plugin.passed,
+        plugin.failed,
+        plugin.skipped,
+        tuple(plugin.known_failures),
+        tuple(plugin.unexpected_passes),
     )
     text = json.dumps(dataclasses.asdict(result))
     pathlib.Path(path).write_text(text, encoding="utf-8")
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,7 +1,7 @@
-"""Runs every test with nose2 in parallel processes.
+"""Runs tests with nose2 in parallel processes.
 
-The last line counts the tests of all processes. The exit status is 1 when a test
-failed, a process ended without a result or in error, or no test ran.
+The last line of the output counts the tests of all processes. The exit status is 1
+when a test failed, a process exited with an error or without a result, or no test ran.
 """
 
 from __future__ import annotations
@@ -25,53 +25,57 @@
     from collections.abc import Iterable, Sequence
 
 TEST_DIRECTORY = "tests"
-MESH_SUPPORT = ("tests.support.meshes", "tests.support.rolls", "tests.support.hosted")
+MESH_SUPPORT_MODULES = (
+    "tests.support.meshes",
+    "tests.support.rolls",
+    "tests.support.hosted",
+)
 DEFAULT_JOBS = 3
 SHARD_TIMEOUT_S = 400.0
 
 
 @dataclasses.dataclass(frozen=True)
 class ShardRun:
-    """Output and result of one process.
+    """Output and result of one test process.
 
     Parameters
     ----------
     names : tuple of str
-        Test modules.
+        Packages, modules, classes or tests that it ran.
     output : str
-        All that it printed.
+        Its standard output and standard error.
     result : ShardResult or None
-        None when the process ended without one.
-    problem : str
-        Why the process itself counts as failed; empty when it does not.
+        None when the process exited without writing a result.
+    process_error : str
+        Why the process itself counts as failed; empty otherwise.
     """
 
     names: tuple[str, ...]
     output: str
     result: ShardResult | None
-    problem: str = ""
+    process_error: str = ""
 
 
 def find_shards(root: pathlib.Path) -> list[tuple[str, ...]]:
-    """Return the test modules of each process.
+    """Return the test modules to run in each process.
 
-    A module with a mesh of real processes is run by a process of its own, as it takes
-    longest; the others of a package share one.
+    A module that starts a mesh of real processes gets a process of its own because it
+    takes longest. The other modules of a package share one.
     """
-    meshes: list[tuple[str, ...]] = []
-    packages: dict[str, list[str]] = {}
+    mesh_shards: list[tuple[str, ...]] = []
+    modules_by_package: dict[str, list[str]] = {}
     for path in sorted((root / TEST_DIRECTORY).rglob("test_*.py")):
         name = ".".join(path.relative_to(root).with_suffix("").parts)
         text = path.read_text(encoding="utf-8")
-        if any(support in text for support in MESH_SUPPORT):
-            meshes.append((name,))
+        if any(support in text for support in MESH_SUPPORT_MODULES):
+            mesh_shards.append((name,))
         else:
-            packages.setdefault(name.rpartition(".")[0], []).append(name)
-    return [*meshes, *(tuple(names) for names in packages.values())]
+            modules_by_package.setdefault(name.rpartition(".")[0], []).append(name)
+    return [*mesh_shards, *(tuple(names) for names in modules_by_package.values())]
 
 
 def run_shard(names: Sequence[str], timeout_s: float = SHARD_TIMEOUT_S) -> ShardRun:
-    """Run test modules in a process of their own."""
+    """Run tests in a separate process and return its output and result."""
     with tempfile.TemporaryDirectory() as directory:
         path = pathlib.Path(directory) / "result.json"
         process = subprocess.Popen(
@@ -83,30 +87,30 @@
             errors="replace",
             start_new_session=True,
         )
-        problem = ""
+        process_error = ""
         try:
             output, _ = process.communicate(timeout=timeout_s)
         except subprocess.TimeoutExpired:
-            problem = f"did not end within {timeout_s:g} s"
-            _end_group(process)
+            process_error = f"did not end within {timeout_s:g} s"
+            _kill_process_group(process)
             output, _ = process.communicate()
-        _end_group(process)
+        _kill_process_group(process)
         result = read_result(path)
-    if not problem and process.returncode != 0:
-        problem = f"ended with status {process.returncode}"
-    elif not problem and result is None:
-        problem = "ended without a result"
-    return ShardRun(tuple(names), output, result, problem)
+    if not process_error and process.returncode != 0:
+        process_error = f"exited with status {process.returncode}"
+    elif not process_error and result is None:
+        process_error = "exited without a result"
+    return ShardRun(tuple(names), output, result, process_error)
 
 
-def _end_group(process: subprocess.Popen[str]) -> None:
-    """End a process and those that it started and left behind."""
+def _kill_process_group(process: subprocess.Popen[str]) -> None:
+    """Kill a process and the child processes that it left running."""
     with contextlib.suppress(ProcessLookupError):
         os.killpg(process.pid, signal.SIGKILL)
 
 
 def print_summary(runs: Iterable[ShardRun]) -> int:
-    """Print what was passed over and the closing line; return the exit status."""
+    """Print the known failures and the total counts, and return the exit status."""
     entries = read_known_red()
     passed = failed = skipped = 0
     for run in runs:
@@ -118,9 +122,9 @@
             print(f"known red: {test_id}: {entries[test_id]}")
         for test_id in result.mended:
             print(f"listed as known red but passed: {test_id}")
-        if run.problem:
+        if run.process_error:
             failed += 1
-            print(f"test process failed: {' '.join(run.names)}: {run.problem}")
+            print(f"test process failed: {' '.join(run.names)}: {run.process_error}")
     if skipped:
         print(f"{skipped} skipped")
     print(f"{passed} passed, {failed} failed", flush=True)
@@ -128,7 +132,7 @@
 
 
 def main() -> int:
-    """Run the tests named on the command line, or all of them.
+    """Run the tests given on the command line, or all of them.
 
     Returns
     -------
@@ -143,8 +147,8 @@
     runs: list[ShardRun] = []
     with concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
         futures = [pool.submit(run_shard, names) for names in shards]
-        for fut in concurrent.futures.as_completed(futures):
-            runs.append(fut.result())
+        for future in concurrent.futures.as_completed(futures):
+            runs.append(future.result())
             print(runs[-1].output, flush=True)
     return print_summary(runs)
 
