--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks; their results stand in bench/results."""
+"""Benchmarks; their results are in bench/results."""
--- a/bench/baseline_edge.py
+++ b/bench/baseline_edge.py
@@ -1,4 +1,4 @@
-"""Smallest proxy of hypercorn and httpcore, to compare the request path with."""
+"""Minimal proxy on hypercorn and httpcore, the baseline for the request path."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from marigoldchute.util.asgi import serve_app, serve_lifespan
 
 
-class BaselineEdge:
-    """Passes each request to one backend server, without any decision."""
+class BaselineProxy:
+    """Forwards each request to one backend server without routing or limits."""
 
     def __init__(self, origin: str) -> None:
         self._origin = origin
@@ -39,5 +39,5 @@
 
 
 if __name__ == "__main__":
-    own_address, own_port, target = sys.argv[1:]
-    trio.run(serve_app, BaselineEdge(target), own_address, int(own_port))
+    listen_address, listen_port, backend_origin = sys.argv[1:]
+    trio.run(serve_app, BaselineProxy(backend_origin), listen_address, int(listen_port))
--- a/bench/bench_distribution.py
+++ b/bench/bench_distribution.py
@@ -1,8 +1,8 @@
-"""Convergence and cost of distribution, relayed and with each node at the store.
+"""Convergence time and cost of relayed distribution and of direct store reads.
 
 Starts meshes of real processes behind the fault-injecting proxy, which adds the delays
-of data centres and regions and counts bytes, rolls small changes of one bundle, and
-prints one JSON object that it also writes to bench/results/distribution.json.
+between data centres and regions and counts bytes. Distributes small changes of one
+bundle, prints the results as JSON and writes them to bench/results/distribution.json.
 """
 
 from __future__ import annotations
@@ -30,34 +30,47 @@
 if TYPE_CHECKING:
     from marigoldchute.standins.store import CallCounts
 
-SIZES = (8, 16, 32)
+NODE_COUNTS = (8, 16, 32)
 MODES = ("relayed", "direct")
-CENTRES = 4
-SERVICES = 25
+DATA_CENTRE_COUNT = 4
+SERVICE_COUNT = 25
 ROUTES_PER_SERVICE = 8
-CHANGES = 6
-IDLE_S = 8.0
+CHANGE_COUNT = 6
+IDLE_WINDOW_S = 8.0
 SETTLE_S = 3.0
-LINKS_SETTLE_S = 18.0  # nodes close the links that they opened to join after 15 s
-CENTRE_DELAY_MS = 1.0
+# Nodes close the links that they opened for joining after 15 s.
+LINKS_SETTLE_S = 18.0
+DATA_CENTRE_DELAY_MS = 1.0
 REGION_DELAY_MS = 30.0
-IN_FORCE = "marigoldchute:distribution:in_force"
-RESULT = pathlib.Path(__file__).parent / "results" / "distribution.json"
+IN_FORCE_EVENT = "marigoldchute:distribution:in_force"
+RESULT_PATH = pathlib.Path(__file__).parent / "results" / "distribution.json"
 
 
 @dataclasses.dataclass(frozen=True)
 class Counters:
-    """Counts of the proxy and the store at one moment."""
+    """Counters of the proxy and the store at one time, or their rates per second.
 
-    at: float
+    Parameters
+    ----------
+    time_s : float
+        Time at which the counters were read, or the window of the rates in seconds.
+    total_bytes : int
+        Bytes between processes.
+    cross_region_bytes : int
+        Bytes between processes of different regions.
+    store_calls : int
+        Reads and writes of the store.
+    """
+
+    time_s: float
     total_bytes: int
-    region_bytes: int
+    cross_region_bytes: int
     store_calls: int
 
 
 @dataclasses.dataclass(frozen=True)
-class Figures:
-    """Figures of one mesh.
+class MeshMeasurements:
+    """Measurements of one mesh.
 
     Parameters
     ----------
@@ -66,20 +79,20 @@
     mode : str
         ``relayed`` or ``direct``.
     p50_ms, p99_ms, max_ms : float
-        From the sending of the signed order to in force on a node, over all nodes and
-        changes.
+        Time from sending the signed roll order until the version is in force on a node,
+        over all nodes and changes.
     last_node_ms : float
-        Median over the changes of the time to the last node.
+        Median over the changes of the time until the last node has it in force.
     node_bytes_per_change : float
-        Bytes between processes for each node and change, idle bytes taken off.
+        Bytes between processes per node and change, without the idle traffic.
     region_bytes_per_change : float
-        Bytes between the regions for each change, idle bytes taken off.
+        Bytes between the regions per change, without the idle traffic.
     store_calls_per_change : float
-        Calls to the store for each change, idle calls taken off.
+        Calls to the store per change, without the idle calls.
     idle_node_bytes_per_s, idle_region_bytes_per_s, idle_store_calls_per_s : float
-        Without changes.
+        Rates while no change is distributed.
     store_refusals : int
-        Calls that the store refused for its rates.
+        Calls that the store refused because of its rate limits.
     """
 
     nodes: int
@@ -97,8 +110,8 @@
     store_refusals: int
 
 
-def _content(change: int) -> BundleContent:
-    services = tuple(Service(f"service-{i}", "r1") for i in range(SERVICES))
+def _bundle_content(change: int) -> BundleContent:
+    services = tuple(Service(f"service-{i}", "r1") for i in range(SERVICE_COUNT))
     routes = tuple(
         Route(
             f"route-{i}-{j}",
@@ -106,41 +119,41 @@
             f"service-{i}",
             timeout_ms=5000 + (change if (i, j) == (0, 0) else 0),
         )
-        for i in range(SERVICES)
+        for i in range(SERVICE_COUNT)
         for j in range(ROUTES_PER_SERVICE)
     )
     return BundleContent(services, routes)
 
 
-class Bench:
-    """One mesh in one mode."""
+class DistributionBench:
+    """Measures one mesh in one distribution mode."""
 
     def __init__(self, mesh: Mesh, mode: str) -> None:
         self.mesh = mesh
         self.mode = mode
-        self.sent_ms: dict[int, int] = {}
+        self.sent_at_ms: dict[int, int] = {}
 
-    async def run(self) -> Figures:
-        """Start the mesh, roll the changes and return the figures."""
+    async def run(self) -> MeshMeasurements:
+        """Start the mesh, distribute the changes and return the measurements."""
         self.mesh.node_settings = {"distribution": self.mode}
         self.mesh.start_store()
         self.mesh.start_proxy()
         for vm in self.mesh.plan.vms:
             self.mesh.start_node(vm.name)
-        await self._wait_linked()
-        await self.mesh.set_faults(*_delays())
+        await self._wait_until_joined()
+        await self.mesh.set_faults(*_network_delay_rules())
         await self._roll(1)
         await trio.sleep(LINKS_SETTLE_S)
-        idle = await self._idle()
-        before = await self._counters()
-        for version in range(2, CHANGES + 2):
+        idle = await self._measure_idle_rates()
+        before = await self._read_counters()
+        for version in range(2, CHANGE_COUNT + 2):
             await self._roll(version)
         await trio.sleep(SETTLE_S)
-        after = await self._counters()
+        after = await self._read_counters()
         calls = await self.mesh.store_calls()
-        return self._figures(idle, before, after, calls)
+        return self._summarise(idle, before, after, calls)
 
-    async def _wait_linked(self) -> None:
+    async def _wait_until_joined(self) -> None:
         count = len(self.mesh.plan.vms)
         for vm in self.mesh.plan.vms:
             await self.mesh.wait_until(
@@ -148,7 +161,7 @@
             )
 
     async def _roll(self, version: int) -> None:
-        chunks = split_content(_content(version))
+        chunks = split_content(_bundle_content(version))
         digests = [chunk_digest(chunk) for chunk in chunks]
         manifest = sign_manifest(
             version, digests, "ops-1", self.mesh.private_key, "bench", f"t{version}"
@@ -156,25 +169,25 @@
         order = RollOrder(encode_manifest(manifest), tuple(chunks))
         vms = self.mesh.plan.vms
         node = vms[version % len(vms)].name
-        self.sent_ms[version] = time.time_ns() // 1_000_000
+        self.sent_at_ms[version] = time.time_ns() // 1_000_000
         await self.mesh.admin(node).roll(order)
         with trio.fail_after(60):
-            while len(self._delays_ms(version)) < len(vms):
+            while len(self._in_force_delays_ms(version)) < len(vms):
                 await trio.sleep(0.25)
 
-    def _delays_ms(self, version: int) -> list[int]:
+    def _in_force_delays_ms(self, version: int) -> list[int]:
         delays: list[int] = []
         for vm in self.mesh.plan.vms:
             path = self.mesh.directory / f"{vm.name}.log"
             for line in path.read_text().splitlines():
-                if IN_FORCE not in line:
+                if IN_FORCE_EVENT not in line:
                     continue
                 event = json.loads(line)
                 if event["version"] == version:
-                    delays.append(event["wall_ms"] - self.sent_ms[version])
+                    delays.append(event["wall_ms"] - self.sent_at_ms[version])
         return delays
 
-    async def _counters(self) -> Counters:
+    async def _read_counters(self) -> Counters:
         counts = await self.mesh.byte_counts()
         calls = await self.mesh.store_calls()
         region = [c.bytes for c in counts if c.source_region != c.target_region]
@@ -183,52 +196,54 @@
             trio.current_time(), total, sum(region), calls.read + calls.write
         )
 
-    async def _idle(self) -> Counters:
-        """Return the idle rates a second."""
-        before = await self._counters()
-        await trio.sleep(IDLE_S)
-        after = await self._counters()
-        spent_s = after.at - before.at
+    async def _measure_idle_rates(self) -> Counters:
+        """Return the rates per second while no change is distributed."""
+        before = await self._read_counters()
+        await trio.sleep(IDLE_WINDOW_S)
+        after = await self._read_counters()
+        elapsed_s = after.time_s - before.time_s
         return Counters(
-            spent_s,
-            round((after.total_bytes - before.total_bytes) / spent_s),
-            round((after.region_bytes - before.region_bytes) / spent_s),
-            round((after.store_calls - before.store_calls) / spent_s),
+            elapsed_s,
+            round((after.total_bytes - before.total_bytes) / elapsed_s),
+            round((after.cross_region_bytes - before.cross_region_bytes) / elapsed_s),
+            round((after.store_calls - before.store_calls) / elapsed_s),
         )
 
-    def _figures(
+    def _summarise(
         self, idle: Counters, before: Counters, after: Counters, calls: CallCounts
-    ) -> Figures:
+    ) -> MeshMeasurements:
         nodes = len(self.mesh.plan.vms)
-        spent_s = after.at - before.at
-        by_change = [self._delays_ms(v) for v in range(2, CHANGES + 2)]
-        delays = sorted(delay for change in by_change for delay in change)
-        total = after.total_bytes - before.total_bytes - idle.total_bytes * spent_s
-        region = after.region_bytes - before.region_bytes
+        elapsed_s = after.time_s - before.time_s
+        delays_by_change = [
+            self._in_force_delays_ms(v) for v in range(2, CHANGE_COUNT + 2)
+        ]
+        delays = sorted(delay for change in delays_by_change for delay in change)
+        total = after.total_bytes - before.total_bytes - idle.total_bytes * elapsed_s
+        region = after.cross_region_bytes - before.cross_region_bytes
         store = after.store_calls - before.store_calls
-        return Figures(
+        return MeshMeasurements(
             nodes,
             self.mode,
             statistics.median(delays),
             delays[min(len(delays) - 1, int(len(delays) * 0.99))],
             delays[-1],
-            statistics.median(max(change) for change in by_change),
-            round(total / CHANGES / nodes),
-            round((region - idle.region_bytes * spent_s) / CHANGES),
-            round((store - idle.store_calls * spent_s) / CHANGES, 1),
+            statistics.median(max(change) for change in delays_by_change),
+            round(total / CHANGE_COUNT / nodes),
+            round((region - idle.cross_region_bytes * elapsed_s) / CHANGE_COUNT),
+            round((store - idle.store_calls * elapsed_s) / CHANGE_COUNT, 1),
             round(idle.total_bytes / nodes),
-            idle.region_bytes,
+            idle.cross_region_bytes,
             idle.store_calls,
             calls.refused,
         )
 
 
-def _delays() -> tuple[Rule, ...]:
-    centres = [name for name, _ in DATA_CENTRES[:CENTRES]]
-    between_centres = [
-        Rule(a, b, Action.DELAY, delay_ms=CENTRE_DELAY_MS)
-        for i, a in enumerate(centres)
-        for b in centres[i + 1 :]
+def _network_delay_rules() -> tuple[Rule, ...]:
+    data_centres = [name for name, _ in DATA_CENTRES[:DATA_CENTRE_COUNT]]
+    between_data_centres = [
+        Rule(a, b, Action.DELAY, delay_ms=DATA_CENTRE_DELAY_MS)
+        for i, a in enumerate(data_centres)
+        for b in data_centres[i + 1 :]
     ]
     regions = sorted({region for _, region in DATA_CENTRES})
     between_regions = [
@@ -236,27 +251,29 @@
         for i, a in enumerate(regions)
         for b in regions[i + 1 :]
     ]
-    return (*between_regions, *between_centres)
+    return (*between_regions, *between_data_centres)
 
 
-def measure(nodes: int, mode: str, seed: int) -> Figures:
-    """Measure one mesh."""
+def measure(nodes: int, mode: str, seed: int) -> MeshMeasurements:
+    """Measure a mesh of the given size in one distribution mode."""
     block = LoopbackBlock()
     with tempfile.TemporaryDirectory() as directory:
-        plan = plan_mesh(block.number, CENTRES, nodes // CENTRES, proxied=True)
+        plan = plan_mesh(
+            block.number, DATA_CENTRE_COUNT, nodes // DATA_CENTRE_COUNT, proxied=True
+        )
         mesh = Mesh(plan, pathlib.Path(directory), seed)
         mesh.write_key()
         try:
-            return trio.run(Bench(mesh, mode).run)
+            return trio.run(DistributionBench(mesh, mode).run)
         finally:
             mesh.stop()
             block.release()
 
 
-def _slopes(figures: list[Figures]) -> dict[str, float]:
-    """Return the growth of each figure for a doubling of the nodes."""
-    first, last = figures[0], figures[-1]
-    names = [f.name for f in dataclasses.fields(Figures)][2:-1]
+def _growth_per_doubling(measurements: list[MeshMeasurements]) -> dict[str, float]:
+    """Return the growth of each measurement per doubling of the node count."""
+    first, last = measurements[0], measurements[-1]
+    names = [f.name for f in dataclasses.fields(MeshMeasurements)][2:-1]
     doublings = max(1, (last.nodes // first.nodes).bit_length() - 1)
     return {
         name: round((getattr(last, name) - getattr(first, name)) / doublings, 1)
@@ -265,25 +282,27 @@
 
 
 def main() -> None:
-    """Run the bench."""
+    """Run the benchmark for each mesh size and write the results."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--sizes", type=int, nargs="+", default=SIZES)
+    parser.add_argument("--sizes", type=int, nargs="+", default=NODE_COUNTS)
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
-    results: dict[str, list[Figures]] = {mode: [] for mode in MODES}
+    results: dict[str, list[MeshMeasurements]] = {mode: [] for mode in MODES}
     for nodes in args.sizes:
         for mode in MODES:
-            figures = measure(nodes, mode, args.seed)
-            print(json.dumps(dataclasses.asdict(figures)), flush=True)
-            results[mode].append(figures)
+            measurements = measure(nodes, mode, args.seed)
+            print(json.dumps(dataclasses.asdict(measurements)), flush=True)
+            results[mode].append(measurements)
     report = {
         "machine": f"{os.cpu_count()} cores, shared; load {os.getloadavg()[0]:.1f}",
         "seed": args.seed,
-        "changes": CHANGES,
-        "figures": [dataclasses.asdict(f) for fs in results.values() for f in fs],
-        "growth_per_doubling": {m: _slopes(fs) for m, fs in results.items()},
+        "changes": CHANGE_COUNT,
+        "figures": [dataclasses.asdict(f) for items in results.values() for f in items],
+        "growth_per_doubling": {
+            m: _growth_per_doubling(items) for m, items in results.items()
+        },
     }
-    RESULT.write_text(json.dumps(report, indent=2) + "\n")
+    RESULT_PATH.write_text(json.dumps(report, indent=2) + "\n")
     print(json.dumps(report["growth_per_doubling"], indent=2))
 
 
--- a/bench/bench_evidence.py
+++ b/bench/bench_evidence.py
@@ -1,7 +1,7 @@
-"""False alarms and misses of the evidence test, by seeded simulation of its counts.
+"""False alarms and missed faults of the evidence test, by simulation of its counts.
 
-Run with ``python -m bench.bench_evidence [--trials N] [--seed S]``. It draws counts and
-feeds them to the test; it models no nodes and no network.
+Run with ``python -m bench.bench_evidence [--trials N] [--seed S]``. It draws counts
+from a seeded generator and feeds them to the test. It simulates no nodes or network.
 """
 
 from __future__ import annotations
@@ -23,82 +23,85 @@
 )
 from marigoldchute.moves.sequential import log_threshold
 
-CENTRES = 4
+DATA_CENTRE_COUNT = 4
 WINDOWS_PER_STEP = 15
 SHARES = (0.05, 0.3, 0.7, 0.95)
-LEVELS = (0, 1)
-SLOW_SHARE = 0.05
+LOAD_LEVELS = (0, 1)
+BASELINE_SLOW_SHARE = 0.05
 ALPHAS = (0.05, 0.01, 0.001)
-RESULT = pathlib.Path(__file__).parent / "results" / "evidence.json"
+RESULT_PATH = pathlib.Path(__file__).parent / "results" / "evidence.json"
 
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """One kind of release.
+    """A kind of new release and the traffic during its move.
 
     Parameters
     ----------
     name : str
-        What it is.
-    per_s : float
-        Requests a second of the service in each data centre.
-    error, slow : float
-        Share of failures and of slow answers that the new release has beyond the old.
-    both : float
-        Share of failures of both releases from half time on.
-    routes : tuple of int
-        Routes on which it is bad, of two.
-    levels : tuple of int
-        Load levels at which it is bad.
-    from_window : int
-        First window in which it is bad.
+        Description, printed with the results.
+    requests_per_s : float
+        Requests per second to the service in each data centre.
+    error_share, slow_share : float
+        Share of failures and of slow responses of the new release, in addition to those
+        of the old release.
+    common_error_share : float
+        Additional share of failures of both releases in the second half of the move.
+    bad_routes : tuple of int
+        Routes, of two, on which the new release is bad.
+    bad_levels : tuple of int
+        Load levels at which the new release is bad.
+    first_bad_window : int
+        First window in which the new release is bad.
     """
 
     name: str
-    per_s: float = 60.0
-    error: float = 0.0
-    slow: float = 0.0
-    both: float = 0.0
-    routes: tuple[int, ...] = (0, 1)
-    levels: tuple[int, ...] = LEVELS
-    from_window: int = 0
+    requests_per_s: float = 60.0
+    error_share: float = 0.0
+    slow_share: float = 0.0
+    common_error_share: float = 0.0
+    bad_routes: tuple[int, ...] = (0, 1)
+    bad_levels: tuple[int, ...] = LOAD_LEVELS
+    first_bad_window: int = 0
 
 
 CASES = (
     Case("good"),
-    Case("good, low traffic", per_s=4.0),
-    Case("good, dependency fails for both", both=0.5),
-    Case("errors 50 %", error=0.5),
-    Case("errors 10 %", error=0.1),
-    Case("errors 5 %", error=0.05),
-    Case("errors 50 %, low traffic", per_s=4.0, error=0.5),
-    Case("errors 30 % on one route", error=0.3, routes=(1,)),
-    Case("errors 30 % only under load", error=0.3, levels=(1,)),
-    Case("errors 30 % later", error=0.3, from_window=35),
-    Case("all answers slow", slow=0.95),
-    Case("30 % of answers slow", slow=0.3),
+    Case("good, low traffic", requests_per_s=4.0),
+    Case("good, dependency fails for both", common_error_share=0.5),
+    Case("errors 50 %", error_share=0.5),
+    Case("errors 10 %", error_share=0.1),
+    Case("errors 5 %", error_share=0.05),
+    Case("errors 50 %, low traffic", requests_per_s=4.0, error_share=0.5),
+    Case("errors 30 % on one route", error_share=0.3, bad_routes=(1,)),
+    Case("errors 30 % only under load", error_share=0.3, bad_levels=(1,)),
+    Case("errors 30 % later", error_share=0.3, first_bad_window=35),
+    Case("all answers slow", slow_share=0.95),
+    Case("30 % of answers slow", slow_share=0.3),
 )
 
 
 def simulate(case: Case, rng: np.random.Generator) -> tuple[float, int | None]:
-    """Return the greatest log e-value of a move and its window of conviction."""
-    centres = [MoveEvidence(Thresholds()) for _ in range(CENTRES)]
-    limit = log_threshold(Thresholds().false_alarm, 2)
-    greatest = 0.0
+    """Return the maximum log e-value of a move and the window of detection, if any."""
+    data_centre_evidence = [
+        MoveEvidence(Thresholds()) for _ in range(DATA_CENTRE_COUNT)
+    ]
+    threshold = log_threshold(Thresholds().false_alarm, 2)
+    max_log_e = 0.0
     for window in range(WINDOWS_PER_STEP * len(SHARES)):
         share = SHARES[window // WINDOWS_PER_STEP]
         now_ms = 1000 * window
-        for evidence in centres:
-            _draw(case, evidence, share, window, now_ms, rng)
+        for evidence in data_centre_evidence:
+            _add_window(case, evidence, share, window, now_ms, rng)
             evidence.close_windows(now_ms + 1000, False)
-        log_e = log_e_value(merge_streams(e.streams() for e in centres))
-        greatest = max(greatest, log_e)
-        if log_e > limit:
-            return greatest, window
-    return greatest, None
+        log_e = log_e_value(merge_streams(e.streams() for e in data_centre_evidence))
+        max_log_e = max(max_log_e, log_e)
+        if log_e > threshold:
+            return max_log_e, window
+    return max_log_e, None
 
 
-def _draw(
+def _add_window(
     case: Case,
     evidence: MoveEvidence,
     share: float,
@@ -106,31 +109,37 @@
     now_ms: int,
     rng: np.random.Generator,
 ) -> None:
-    late = window >= WINDOWS_PER_STEP * len(SHARES) // 2
+    is_second_half = window >= WINDOWS_PER_STEP * len(SHARES) // 2
     for route in (0, 1):
-        for level in LEVELS:
-            per_cell = case.per_s / 4
+        for level in LOAD_LEVELS:
+            cell_requests_per_s = case.requests_per_s / 4
             bad = (
-                route in case.routes
-                and level in case.levels
-                and window >= case.from_window
+                route in case.bad_routes
+                and level in case.bad_levels
+                and window >= case.first_bad_window
             )
             for new in (False, True):
-                rate = per_cell * (share if new else 1.0 - share)
-                total = int(rng.poisson(rate))
-                error = 0.005 + (case.both if late else 0.0)
-                error += case.error if new and bad else 0.0
-                slow = SLOW_SHARE + (case.slow if new and bad else 0.0)
-                errors = int(rng.binomial(total, error))
-                timed = total - errors
-                slow_count = int(rng.binomial(timed, min(slow, 1.0)))
-                counts = Counts(total, errors, timed, slow_count)
-                if total:
+                release_requests_per_s = cell_requests_per_s * (
+                    share if new else 1.0 - share
+                )
+                request_count = int(rng.poisson(release_requests_per_s))
+                error_probability = 0.005 + (
+                    case.common_error_share if is_second_half else 0.0
+                )
+                error_probability += case.error_share if new and bad else 0.0
+                slow_probability = BASELINE_SLOW_SHARE + (
+                    case.slow_share if new and bad else 0.0
+                )
+                error_count = int(rng.binomial(request_count, error_probability))
+                timed_count = request_count - error_count
+                slow_count = int(rng.binomial(timed_count, min(slow_probability, 1.0)))
+                counts = Counts(request_count, error_count, timed_count, slow_count)
+                if request_count:
                     evidence.add(CellKey(route, new, level), counts, now_ms)
 
 
 def main() -> None:
-    """Print one line for each case and write them as JSON."""
+    """Simulate every case, print one JSON line for each and write the results."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--trials", type=int, default=200)
     parser.add_argument("--seed", type=int, default=1)
@@ -138,10 +147,12 @@
     results = []
     for index, case in enumerate(CASES):
         rng = np.random.default_rng([args.seed, index])
-        runs = [simulate(case, rng) for _ in range(args.trials)]
-        windows = [window for _, window in runs if window is not None]
-        alarms = {
-            str(alpha): sum(top > log_threshold(alpha, 2) for top, _ in runs)
+        outcomes = [simulate(case, rng) for _ in range(args.trials)]
+        detection_windows = [window for _, window in outcomes if window is not None]
+        alarm_shares = {
+            str(alpha): sum(
+                max_log_e > log_threshold(alpha, 2) for max_log_e, _ in outcomes
+            )
             / args.trials
             for alpha in ALPHAS
         }
@@ -149,15 +160,19 @@
             "case": case.name,
             "trials": args.trials,
             "seed": args.seed,
-            "convicted": len(windows) / args.trials,
-            "median_window": float(np.median(windows)) + 1 if windows else None,
-            "p95_window": float(np.percentile(windows, 95)) + 1 if windows else None,
-            "exceeds_limit_of_alpha": alarms,
+            "convicted": len(detection_windows) / args.trials,
+            "median_window": float(np.median(detection_windows)) + 1
+            if detection_windows
+            else None,
+            "p95_window": float(np.percentile(detection_windows, 95)) + 1
+            if detection_windows
+            else None,
+            "exceeds_limit_of_alpha": alarm_shares,
         }
         results.append(result)
         print(json.dumps(result), flush=True)
-    RESULT.parent.mkdir(exist_ok=True)
-    RESULT.write_text(json.dumps(results, indent=1) + "\n")
+    RESULT_PATH.parent.mkdir(exist_ok=True)
+    RESULT_PATH.write_text(json.dumps(results, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/bench/bench_move_bytes.py
+++ b/bench/bench_move_bytes.py
@@ -1,7 +1,7 @@
-"""Control bytes of a move at the target's size, from the sizes of its messages.
+"""Control bytes of a move at the target's size, computed from its message sizes.
 
 Run with ``python -m bench.bench_move_bytes``. It encodes the messages that one move of
-a service with three routes sends; framing and TCP headers are added as constants.
+a service with three routes sends, and adds framing and TCP headers as constants.
 """
 
 from __future__ import annotations
@@ -27,66 +27,77 @@
     REPORTS_PER_S,
 )
 
-NODES, CENTRES, ROUTES, LEVELS = 870, 7, 3, 2
-DRIVER_QUESTIONS_PER_S = 4
+NODE_COUNT, DATA_CENTRE_COUNT, ROUTE_COUNT, LOAD_LEVEL_COUNT = 870, 7, 3, 2
+DRIVER_CALLS_PER_S = 4
 CALL_OVERHEAD_BYTES = 24
-RESULT = pathlib.Path(__file__).parent / "results" / "move_bytes.json"
+RESULT_PATH = pathlib.Path(__file__).parent / "results" / "move_bytes.json"
 
 
-def _size(message: object) -> int:
+def _message_bytes(message: object) -> int:
     return len(msgspec.msgpack.encode(message)) + CALL_OVERHEAD_BYTES
 
 
 def main() -> None:
-    """Print bytes a second by role."""
+    """Print and write the message sizes and the bytes per second of each role."""
     cells = tuple(
         CellReport(route, new, level, (40_000, 400, 40_000, 900))
-        for route in range(ROUTES)
+        for route in range(ROUTE_COUNT)
         for new in (False, True)
-        for level in range(LEVELS)
+        for level in range(LOAD_LEVEL_COUNT)
     )
-    latencies = {r: {b: 1000 for b in range(10, 34)} for r in range(ROUTES)}
+    latencies = {
+        route: {bucket: 1000 for bucket in range(10, 34)}
+        for route in range(ROUTE_COUNT)
+    }
     now_ms = 1_796_381_405_658
 
     def report(histograms: dict[int, dict[int, int]]) -> MemberReport:
         move = MoveReport("turnos-r2", 0.5, False, 0, 2, 12.34, cells, histograms)
         return MemberReport("cartago-norte-123", now_ms, 5000, 620, (move,))
 
-    mean_report = (
-        _size(report({}))
-        + (_size(report(latencies)) - _size(report({}))) / LATENCIES_EVERY
+    mean_report_bytes = (
+        _message_bytes(report({}))
+        + (_message_bytes(report(latencies)) - _message_bytes(report({})))
+        / LATENCIES_EVERY
+    )
+    guidance_bytes = _message_bytes(
+        [Guidance("turnos-r2", 2, 10**6, 99.5, p95_ms={0: 9.5, 1: 9.5})]
     )
-    guidance = _size([Guidance("turnos-r2", 2, 10**6, 99.5, p95_ms={0: 9.5, 1: 9.5})])
     streams = tuple(
         StreamReport(route, metric, level, (-300, -300, -300, -300))
-        for route in range(ROUTES)
+        for route in range(ROUTE_COUNT)
         for metric in range(2)
-        for level in range(-1, LEVELS)
+        for level in range(-1, LOAD_LEVEL_COUNT)
+    )
+    summary_bytes = _message_bytes(
+        [MoveSummary("turnos-r2", 10**6, 99.5, False, streams, {0: 9.5})]
     )
-    summary = _size([MoveSummary("turnos-r2", 10**6, 99.5, False, streams, {0: 9.5})])
-    stand = _size([Stand("turnos-r2", 2**63, 2**63, 124)])
-    per_centre = NODES / CENTRES
-    interval_s = max(REPORT_INTERVAL_S, per_centre / REPORTS_PER_S)
-    exchange_s = CENTRES * EXCHANGE_PER_CENTRE_S
-    member = (mean_report + guidance) / interval_s
+    stand_bytes = _message_bytes([Stand("turnos-r2", 2**63, 2**63, 124)])
+    nodes_per_data_centre = NODE_COUNT / DATA_CENTRE_COUNT
+    report_interval_s = max(REPORT_INTERVAL_S, nodes_per_data_centre / REPORTS_PER_S)
+    exchange_interval_s = DATA_CENTRE_COUNT * EXCHANGE_PER_CENTRE_S
+    member_bytes_per_s = (mean_report_bytes + guidance_bytes) / report_interval_s
     result = {
-        "report_bytes": round(mean_report),
-        "guidance_bytes": guidance,
-        "summary_bytes": summary,
-        "stand_bytes": stand,
-        "report_interval_s": round(interval_s, 2),
-        "member_bytes_per_s": round(member),
+        "report_bytes": round(mean_report_bytes),
+        "guidance_bytes": guidance_bytes,
+        "summary_bytes": summary_bytes,
+        "stand_bytes": stand_bytes,
+        "report_interval_s": round(report_interval_s, 2),
+        "member_bytes_per_s": round(member_bytes_per_s),
         "collector_bytes_per_s": round(
-            member * (per_centre - 1)
-            + 2 * (CENTRES - 1) * (summary + CALL_OVERHEAD_BYTES) / exchange_s
-            + DRIVER_QUESTIONS_PER_S * (stand + CALL_OVERHEAD_BYTES)
+            member_bytes_per_s * (nodes_per_data_centre - 1)
+            + 2
+            * (DATA_CENTRE_COUNT - 1)
+            * (summary_bytes + CALL_OVERHEAD_BYTES)
+            / exchange_interval_s
+            + DRIVER_CALLS_PER_S * (stand_bytes + CALL_OVERHEAD_BYTES)
         ),
         "driver_bytes_per_s": round(
-            DRIVER_QUESTIONS_PER_S * CENTRES * (stand + CALL_OVERHEAD_BYTES)
+            DRIVER_CALLS_PER_S * DATA_CENTRE_COUNT * (stand_bytes + CALL_OVERHEAD_BYTES)
         ),
     }
     print(json.dumps(result))
-    RESULT.write_text(json.dumps(result, indent=1) + "\n")
+    RESULT_PATH.write_text(json.dumps(result, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/bench/bench_scale.py
+++ b/bench/bench_scale.py
@@ -1,8 +1,8 @@
-"""Cost of one node's periodic work and state at growing numbers of members.
+"""Cost of one node's periodic work and state, by number of members.
 
-Fills the tables of one node with made-up member records, without other processes, and
-times what a node does at intervals. Prints one JSON object and writes it to
-bench/results/scale.json.
+Fills the tables of one node with synthetic member records, without other processes, and
+measures the CPU time of the work that a node repeats. Prints the results as JSON and
+writes them to bench/results/scale.json.
 """
 
 from __future__ import annotations
@@ -27,35 +27,36 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-SIZES = (58, 217, 435, 870)
-CENTRES = 7
-SERVICES = 25
-REPEATS = 20
-RESULT = pathlib.Path(__file__).parent / "results" / "scale.json"
+MEMBER_COUNTS = (58, 217, 435, 870)
+DATA_CENTRE_COUNT = 7
+SERVICE_COUNT = 25
+REPETITION_COUNT = 20
+RESULT_PATH = pathlib.Path(__file__).parent / "results" / "scale.json"
 
 
 @dataclasses.dataclass(frozen=True)
-class ScaleFigures:
-    """Figures of one node at a number of members.
+class NodeMeasurements:
+    """Measurements of one node with a given number of members.
 
     Parameters
     ----------
     members : int
         Members in the table.
     wanted_peers_ms, duty_ms : float
-        Processor time of one derivation after a change, in milliseconds.
+        CPU time to compute the wanted peers and the holder of a duty after a change, in
+        milliseconds.
     kept_duty_ms, kept_wanted_ms : float
-        Processor time of the question when nothing has changed, in milliseconds.
+        CPU time to look up the same while nothing has changed, in milliseconds.
     links : int
-        Links that this node opens.
+        Number of links that this node opens.
     member_record_bytes : int
         Encoded size of one member record.
     state_kb : float
-        Memory of the record table and the members, in kilobytes.
+        Memory used by the record table and the members, in kilobytes.
     full_state_kb : float
         Bytes that a joining node receives, in kilobytes.
     one_bucket_ids_bytes : int
-        Bytes of the identities exchanged when one record differs.
+        Bytes of the record ids that are exchanged when one record differs.
     """
 
     members: int
@@ -70,28 +71,28 @@
     one_bucket_ids_bytes: int
 
 
-def _member(number: int) -> Member:
-    centre = number % CENTRES
+def _make_member(number: int) -> Member:
+    data_centre = number % DATA_CENTRE_COUNT
     name = f"vm-{number:04d}"
-    service = f"service-{number % SERVICES}"
+    service = f"service-{number % SERVICE_COUNT}"
     server = BackendServer(f"{name}/9100", service, "r1", 9100, 12, 110)
     return Member(
         name,
         1_796_379_678_285,
         3,
-        f"10.{centre}.{number // 250}.{number % 250}",
+        f"10.{data_centre}.{number // 250}.{number % 250}",
         7000,
-        f"centre-{centre}",
-        "region-a" if centre < 4 else "region-b",
+        f"centre-{data_centre}",
+        "region-a" if data_centre < 4 else "region-b",
         servers=(server,),
     )
 
 
-def _time_ms(action: Callable[[], object]) -> float:
-    begin = time.process_time()
-    for _ in range(REPEATS):
+def _mean_cpu_ms(action: Callable[[], object]) -> float:
+    started_s = time.process_time()
+    for _ in range(REPETITION_COUNT):
         action()
-    return round((time.process_time() - begin) * 1000 / REPEATS, 3)
+    return round((time.process_time() - started_s) * 1000 / REPETITION_COUNT, 3)
 
 
 def _settings() -> NodeSettings:
@@ -99,13 +100,13 @@
     return NodeSettings("vm-0000", "10.0.0.0", "centre-0", "region-a", store, ())
 
 
-def measure(size: int) -> ScaleFigures:
-    """Measure one number of members."""
+def measure(member_count: int) -> NodeMeasurements:
+    """Measure one node with the given number of members."""
     tracemalloc.start()
     table = RecordTable()
     membership = Membership(_settings(), 1, table, EventSink())  # type: ignore[arg-type]
-    for number in range(1, size):
-        member = _member(number)
+    for number in range(1, member_count):
+        member = _make_member(number)
         body = msgspec.msgpack.encode(member)
         table.offer(Record(RecordKind.MEMBER, member.name, (1, 6), body))
     state_kb = tracemalloc.get_traced_memory()[0] / 1000
@@ -113,12 +114,12 @@
     local = membership.local
     records = table.of_kind(RecordKind.MEMBER)
     bucket = random.Random(1).randrange(BUCKETS)
-    return ScaleFigures(
-        size,
-        _time_ms(lambda: wanted_peers(local, membership.all())),
-        _time_ms(lambda: rendezvous_order(membership.all(), "driver")),
-        _time_ms(lambda: membership.duties.holder("driver")),
-        _time_ms(membership.wanted),
+    return NodeMeasurements(
+        member_count,
+        _mean_cpu_ms(lambda: wanted_peers(local, membership.all())),
+        _mean_cpu_ms(lambda: rendezvous_order(membership.all(), "driver")),
+        _mean_cpu_ms(lambda: membership.duties.holder("driver")),
+        _mean_cpu_ms(membership.wanted),
         len(wanted_peers(local, membership.all())),
         len(records[1].body),
         round(state_kb, 1),
@@ -128,11 +129,13 @@
 
 
 def main() -> None:
-    """Measure every size and print the figures."""
-    result = [dataclasses.asdict(measure(size)) for size in SIZES]
+    """Measure every number of members, print the results and write them."""
+    result = [
+        dataclasses.asdict(measure(member_count)) for member_count in MEMBER_COUNTS
+    ]
     text = json.dumps(result, indent=2)
     print(text)
-    RESULT.write_text(text + "\n")
+    RESULT_PATH.write_text(text + "\n")
 
 
 if __name__ == "__main__":
--- a/bench/bench_transport.py
+++ b/bench/bench_transport.py
@@ -1,7 +1,7 @@
-"""Control calls between two nodes: the project's links beside grpclib on trio-asyncio.
+"""Control calls over the project's links, compared with grpclib on trio-asyncio.
 
-Both ends run in one process, so the processor time is that of both. Prints one JSON
-object and writes it to bench/results/transport.json.
+Both ends run in one process, so the CPU time covers both. Prints the results as JSON
+and writes them to bench/results/transport.json.
 """
 
 from __future__ import annotations
@@ -33,28 +33,28 @@
 ADDRESS = "127.0.0.1"
 LINK_PORT = 17_001
 GRPC_PORT = 17_002
-METHOD = 999
+LINK_METHOD = 999
 GRPC_METHOD = "/bench.Echo/Echo"
 PAYLOAD = bytes(200)
-RESULT = pathlib.Path(__file__).parent / "results" / "transport.json"
+RESULT_PATH = pathlib.Path(__file__).parent / "results" / "transport.json"
 
 
 @dataclasses.dataclass(frozen=True)
-class Figures:
-    """What one transport gave.
+class TransportMeasurements:
+    """Measurements of one transport.
 
     Parameters
     ----------
     transport : str
-        Name.
+        Name of the transport.
     calls : int
-        Calls made, one after another.
+        Number of calls, made one after another.
     p50_us, p99_us : float
         Round-trip time in microseconds.
     cpu_us_per_call : float
-        Processor time of both ends in microseconds.
+        CPU time of both ends per call, in microseconds.
     max_rss_mb : float
-        Greatest resident memory of the process up to then, in megabytes.
+        Peak resident memory of the process so far, in megabytes.
     """
 
     transport: str
@@ -65,18 +65,18 @@
     max_rss_mb: float
 
 
-async def _measure(name: str, call: Any, calls: int) -> Figures:
+async def _measure(name: str, call: Any, calls: int) -> TransportMeasurements:
     for _ in range(calls // 10):
         await call()
     histogram = HdrHistogram(1, 10_000_000, 3)
-    cpu_before = time.process_time()
+    cpu_started_s = time.process_time()
     for _ in range(calls):
-        begin = time.perf_counter_ns()
+        started_ns = time.perf_counter_ns()
         await call()
-        histogram.record_value((time.perf_counter_ns() - begin) // 1000)
-    cpu_us = (time.process_time() - cpu_before) * 1e6
+        histogram.record_value((time.perf_counter_ns() - started_ns) // 1000)
+    cpu_us = (time.process_time() - cpu_started_s) * 1e6
     rss_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    return Figures(
+    return TransportMeasurements(
         name,
         calls,
         histogram.get_value_at_percentile(50),
@@ -102,10 +102,10 @@
     return body
 
 
-async def measure_links(calls: int) -> Figures:
-    """Measure calls over a link."""
+async def measure_links(calls: int) -> TransportMeasurements:
+    """Measure echo calls over a link."""
     handlers = Handlers()
-    handlers.register(METHOD, _echo)
+    handlers.register(LINK_METHOD, _echo)
     server, client = _endpoint("server", handlers), _endpoint("client", Handlers())
     async with trio.open_nursery() as nursery:
         await nursery.start(server.serve, LINK_PORT)
@@ -113,15 +113,15 @@
         nursery.start_soon(client.run_link, link)
 
         async def call() -> None:
-            await link.call(METHOD, PAYLOAD, 5.0)
+            await link.call(LINK_METHOD, PAYLOAD, 5.0)
 
-        figures = await _measure("link", call, calls)
+        measurements = await _measure("link", call, calls)
         nursery.cancel_scope.cancel()
-    return figures
+    return measurements
 
 
 class _MsgpackCodec(grpclib.encoding.base.CodecBase):
-    """Message codec without generated code."""
+    """Codec that sends messages as msgpack, without generated code."""
 
     __content_subtype__ = "msgpack"
 
@@ -143,7 +143,7 @@
         return {GRPC_METHOD: grpclib.const.Handler(self.echo, unary, bytes, bytes)}
 
 
-async def _measure_grpc_on_asyncio(calls: int) -> Figures:
+async def _measure_grpc_on_asyncio(calls: int) -> TransportMeasurements:
     server = grpclib.server.Server([_EchoService()], codec=_MsgpackCodec())
     await server.start(ADDRESS, GRPC_PORT)
     channel = grpclib.client.Channel(ADDRESS, GRPC_PORT, codec=_MsgpackCodec())
@@ -160,25 +160,25 @@
         await server.wait_closed()
 
 
-async def measure_grpc(calls: int) -> Figures:
-    """Measure calls over grpclib, its asyncio loop inside trio."""
+async def measure_grpc(calls: int) -> TransportMeasurements:
+    """Measure echo calls over grpclib, with its asyncio loop inside trio."""
     async with trio_asyncio.open_loop():
         return await trio_asyncio.aio_as_trio(_measure_grpc_on_asyncio)(calls)
 
 
 def main() -> None:
-    """Run both and print the figures."""
+    """Measure both transports, print the results and write them."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--calls", type=int, default=5000)
     calls = parser.parse_args().calls
-    figures = [
+    results = [
         trio.run(measure_links, calls),
         trio.run(measure_grpc, calls),
     ]
-    result = [dataclasses.asdict(item) for item in figures]
-    text = json.dumps(result, indent=2)
+    rows = [dataclasses.asdict(item) for item in results]
+    text = json.dumps(rows, indent=2)
     print(text)
-    RESULT.write_text(text + "\n")
+    RESULT_PATH.write_text(text + "\n")
 
 
 if __name__ == "__main__":
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,7 +1,7 @@
-"""Fault soak over many seeds; prints one JSON object a seed and a last one for all.
+"""Fault soak over many seeds; prints one JSON object per seed and a final one.
 
-Exit status 1 when a caller was told an untruth, a request ran twice, or a mesh did not
-recover in time.
+The exit status is 1 when a caller received a false response, a request ran twice, or a
+mesh did not recover in time.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 from tests.support.soak import Soak
 
-LIMIT_S = 120.0
+SOAK_TIMEOUT_S = 120.0
 
 
-def run_seed(seed: int, last_s: float) -> dict[str, object]:
-    """Play one seed and return what came of it."""
-    soak = Soak(seed, last_s)
-    started = time.monotonic()
+def run_seed(seed: int, fault_period_s: float) -> dict[str, object]:
+    """Run the soak with one seed and return its results."""
+    soak = Soak(seed, fault_period_s)
+    started_s = time.monotonic()
     failure = ""
     try:
-        soak.play(LIMIT_S)
+        soak.play(SOAK_TIMEOUT_S)
     except* (trio.TooSlowError, OSError) as group:
         failure = repr(group.exceptions)
     statuses = collections.Counter(item.status for item in soak.told)
@@ -34,25 +34,27 @@
         "lies": soak.lies,
         "failure": failure,
         "statuses": dict(sorted(statuses.items())),
-        "took_s": round(time.monotonic() - started, 1),
+        "took_s": round(time.monotonic() - started_s, 1),
     }
 
 
 def main() -> int:
-    """Run the program."""
+    """Run the soak for each seed and return exit status 1 if one failed, else 0."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1, help="first seed")
     parser.add_argument("--count", type=int, default=50, help="number of seeds")
-    parser.add_argument("--last-s", type=float, default=8.0, help="seconds of faults")
+    parser.add_argument(
+        "--last-s", type=float, default=8.0, help="seconds during which faults begin"
+    )
     args = parser.parse_args()
-    bad = []
+    failed_seeds = []
     for seed in range(args.seed, args.seed + args.count):
         result = run_seed(seed, args.last_s)
         print(json.dumps(result), flush=True)
         if result["lies"] or result["failure"]:
-            bad.append(seed)
-    print(json.dumps({"seeds": args.count, "bad": bad}))
-    return 1 if bad else 0
+            failed_seeds.append(seed)
+    print(json.dumps({"seeds": args.count, "bad": failed_seeds}))
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
