--- a/marigoldchute/hosted/drain.py
+++ b/marigoldchute/hosted/drain.py
@@ -10,7 +10,7 @@
     from collections.abc import Awaitable, Callable
 
     from marigoldchute.hosted.directory import Directory
-    from marigoldchute.routing.http_server import HttpEdge
+    from marigoldchute.routing.http_server import HttpServer
     from marigoldchute.routing.owner import Owner
 
 # Callers poll readiness once a second and stop sending after two failures.
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    callers : HttpEdge
+    callers : HttpServer
         Server for connections of callers.
     owner : Owner
         Owner side of the node.
@@ -49,7 +49,7 @@
     """
 
     def __init__(
-        self, callers: HttpEdge, owner: Owner, directory: Directory, grace_s: float
+        self, callers: HttpServer, owner: Owner, directory: Directory, grace_s: float
     ) -> None:
         self._callers = callers
         self._owner = owner
--- a/marigoldchute/hosted/node.py
+++ b/marigoldchute/hosted/node.py
@@ -31,7 +31,7 @@
 from marigoldchute.overlay.records import RecordKind, RecordTable
 from marigoldchute.routing.budget import WindowRetryBudget
 from marigoldchute.routing.entry import Entry
-from marigoldchute.routing.http_server import HttpEdge
+from marigoldchute.routing.http_server import HttpServer
 from marigoldchute.routing.least_time import LeastExpectedTime
 from marigoldchute.routing.owner import Owner
 from marigoldchute.routing.policy import PathPolicy
@@ -57,7 +57,7 @@
 # Only nodes share the network of a hosted mesh; the secret keeps meshes apart.
 MESH_SECRET = b"marigoldchute hosted mesh"
 LINK_HEARTBEAT_MS = 500  # A link is closed after three missed heartbeats, 1.5 s.
-GATHER_BYTES = 262_144
+MAX_BUFFERED_RESPONSE_BYTES = 262_144
 EXPIRY_INTERVAL_S = 0.25
 LEAVE_FLOOD_S = 0.05
 PEERS_TIMEOUT_S = 1.5
@@ -67,7 +67,7 @@
 FIRST_BUNDLE_WAIT_S = 0.7
 POLICY = PathPolicy(
     adaptive_limit=False,
-    gather_bytes=GATHER_BYTES,
+    max_buffered_response_bytes=MAX_BUFFERED_RESPONSE_BYTES,
     retry_errors=True,
     boost_rare_routes=True,
     first_bundle_wait_s=FIRST_BUNDLE_WAIT_S,
@@ -218,13 +218,13 @@
             self._registry, lambda: self._cfg.backend, self.is_ready, self._clock
         )
         metrics_page = MetricsPage(self._metrics_snapshot)
-        self._metrics_edge = HttpEdge(metrics_page.handle, self._log_failure)
-        self._caller_edge = HttpEdge(self.entry.handle_external, self._log_failure)
-        self._control_edge = HttpEdge(control, self._log_failure)
-        self._readiness_edge = HttpEdge(readiness, self._log_failure)
+        self._metrics_edge = HttpServer(metrics_page.handle, self._log_failure)
+        self._caller_edge = HttpServer(self.entry.handle_external, self._log_failure)
+        self._control_edge = HttpServer(control, self._log_failure)
+        self._readiness_edge = HttpServer(readiness, self._log_failure)
         self._in_force.on_swap(self._apply_bundle)
         self.directory.on_view += [
-            self.entry.tables.mark_stale,
+            self.entry.candidate_tables.mark_stale,
             self._order_book.refresh,
         ]
         table.subscribe(RecordKind.MEMBER, lambda record: self._order_book.refresh())
@@ -299,7 +299,7 @@
 
     async def _serve(
         self,
-        edge: HttpEdge,
+        edge: HttpServer,
         endpoint: Endpoint,
         task_status: trio.TaskStatus[Any] = trio.TASK_STATUS_IGNORED,
     ) -> None:
--- a/marigoldchute/link/stream.py
+++ b/marigoldchute/link/stream.py
@@ -85,7 +85,7 @@
             self._uncredited_bytes = 0
         return data
 
-    def take_whole(self) -> bytes | None:
+    def pop_complete_data(self) -> bytes | None:
         """Return all data if the peer has finished sending, else None."""
         if not self._peer_finished or self._error is not None:
             return None
@@ -106,7 +106,7 @@
         self._raise_if_failed()
         self.link.send_now(encode_frame(FrameKind.OPEN, self.number, head))
 
-    async def send_whole(self, head: bytes, data: bytes) -> None:
+    async def send_complete(self, head: bytes, data: bytes) -> None:
         """Send the head of the response and all data, and finish sending."""
         if len(data) > MAX_DATA_BYTES or len(data) > self._send_credit:
             self.send_head(head)
--- a/marigoldchute/platform/settings.py
+++ b/marigoldchute/platform/settings.py
@@ -22,10 +22,10 @@
     deadline=b"deadline-ms",
     request_id=b"attempt-id",
     not_run=b"not-executed",
-    echoes_id=True,
+    echoes_request_id=True,
     expected_server=b"expected-instance",
     caller_service=b"caller-service",
-    keeps_given_id=True,
+    forwards_given_id=True,
     accepts_unframed=True,
     misdirected_status=421,
 )
--- a/marigoldchute/routing/backend_conn.py
+++ b/marigoldchute/routing/backend_conn.py
@@ -17,7 +17,7 @@
 RECEIVE_BYTES = 65_536
 CONNECT_TIMEOUT_S = 1.0
 MAX_IDLE_S = 4.0
-IDLE_REUSE_NON_IDEMPOTENT_S = 1.0
+MAX_IDLE_NON_IDEMPOTENT_S = 1.0
 KEEP_ALIVE_MARGIN_S = 1.0  # The header is rounded down to whole seconds.
 ABANDON_TIMEOUT_S = 2.0
 
@@ -33,7 +33,7 @@
         self.idle_since = 0.0
         self.reusable_for_s = MAX_IDLE_S
 
-    def limit_idle(self, keep_alive_s: float | None) -> None:
+    def limit_idle_reuse(self, keep_alive_s: float | None) -> None:
         """Limit reuse to the time that the backend server keeps an idle connection."""
         if keep_alive_s is not None:
             self.reusable_for_s = min(
@@ -102,7 +102,7 @@
             raise RequestError("backend server closed the connection")
         response.feed(data)
 
-    async def wait_abandoned(self) -> None:
+    async def wait_for_abandoned_request(self) -> None:
         """Abandon the response and wait until the backend server cancels the request.
 
         The half-closed connection signals the backend server to cancel the request;
@@ -143,7 +143,7 @@
         self.open_count = 0
         self.max_open_count = 0
 
-    async def take(self, idempotent: bool, limit: int) -> BackendConn:
+    async def acquire(self, idempotent: bool, limit: int) -> BackendConn:
         """Return an idle connection, or a new one.
 
         Parameters
@@ -174,7 +174,7 @@
             idle_s = now - conn.idle_since
             if idle_s >= conn.reusable_for_s or not conn.tcp.is_quiet():
                 self.discard(conn)
-            elif not idempotent and idle_s >= IDLE_REUSE_NON_IDEMPOTENT_S:
+            elif not idempotent and idle_s >= MAX_IDLE_NON_IDEMPOTENT_S:
                 self._idle.append(conn)
                 return None
             else:
@@ -205,7 +205,7 @@
             self.open_count -= 1
             raise
 
-    def give_back(self, conn: BackendConn, now: float) -> None:
+    def release(self, conn: BackendConn, now: float) -> None:
         """Return a connection to the pool after its response was read completely."""
         conn.idle_since = now
         self._idle.append(conn)
--- a/marigoldchute/routing/backend_response.py
+++ b/marigoldchute/routing/backend_response.py
@@ -5,7 +5,7 @@
 import httptools
 
 from marigoldchute.errors import RequestError
-from marigoldchute.routing.dialect import OWN_DIALECT, Dialect
+from marigoldchute.routing.dialect import DEFAULT_DIALECT, Dialect
 from marigoldchute.routing.headers import HOP_HEADERS
 
 MAX_HEAD_BYTES = 65_536
@@ -58,7 +58,7 @@
     def __init__(
         self,
         is_head_response: bool,
-        dialect: Dialect = OWN_DIALECT,
+        dialect: Dialect = DEFAULT_DIALECT,
         request_id: bytes = b"",
     ) -> None:
         self.status = 0
@@ -214,7 +214,7 @@
         return self.not_run and self.status >= MIN_ERROR_STATUS
 
     def _is_for_other_request(self) -> bool:
-        if not self._dialect.echoes_id or not self._request_id:
+        if not self._dialect.echoes_request_id or not self._request_id:
             return False
         if self._echoed_id is None:
             # A backend server may refuse a request before it has read the id.
--- a/marigoldchute/routing/backend_run.py
+++ b/marigoldchute/routing/backend_run.py
@@ -19,7 +19,7 @@
     from marigoldchute.routing.policy import PathPolicy
 
 
-class BackendRun:
+class BackendAttempt:
     """Sends a request to a backend server and forwards its response.
 
     Parameters
@@ -43,11 +43,11 @@
 
     Attributes
     ----------
-    run_s : float
+    duration_s : float
         Time from the end of the request to the end of its response.
     reusable : bool
         Whether the connection can be used for another request.
-    written, ended, refused : bool
+    written, server_finished, refused : bool
         Whether a byte was sent, whether the backend server has finished with the
         request, and whether it reported that it did not run it.
     """
@@ -64,10 +64,10 @@
         policy: PathPolicy,
     ) -> None:
         self.conn = conn
-        self.run_s = 0.0
+        self.duration_s = 0.0
         self.reusable = False
         self.written = False
-        self.ended = False
+        self.server_finished = False
         self.refused = False
         self._head = head
         self._exchange = exchange
@@ -102,7 +102,7 @@
             await self._send_first(encoded_head)
             await self._forward_response()
             return
-        body = self._exchange.take_whole_body()
+        body = self._exchange.pop_complete_body()
         if body is not None:
             await self._send_first(
                 encoded_head + _encode_whole_body(body, head.chunked)
@@ -155,7 +155,7 @@
             self.written = False
             raise
         except RequestError:
-            self.ended = self.conn.closed_by_peer
+            self.server_finished = self.conn.closed_by_peer
             raise
         self._sent_at = time.perf_counter()
 
@@ -175,13 +175,16 @@
         head_received_at = time.perf_counter()
         if response.refused:
             self.refused = True
-            self.ended = response.complete
+            self.server_finished = response.complete
             self.reusable = response.complete and response.keep_alive
             raise NotRunError(
                 "backend server refused the request",
                 ResultCode.REQUEST_NOT_RUN_REFUSED,
             )
-        if 0 <= response.length <= self._policy.gather_bytes or response.is_unframed:
+        if (
+            0 <= response.length <= self._policy.max_buffered_response_bytes
+            or response.is_unframed
+        ):
             while not response.complete:
                 await self._read_more()
         head = ResponseHead(
@@ -196,7 +199,7 @@
         exchange = self._exchange
         if response.complete:
             self._on_response_complete()
-            await exchange.send_whole(head, response.pop_body())
+            await exchange.send_complete(head, response.pop_body())
             return
         await exchange.send_head(head, response.pop_body())
         while not response.complete:
@@ -211,12 +214,12 @@
             await self.conn.read_more(self._response)
         except RequestError:
             # A connection closed by the backend server no longer occupies a slot.
-            self.ended = self.conn.closed_by_peer
+            self.server_finished = self.conn.closed_by_peer
             raise
 
     def _on_response_complete(self) -> None:
-        self.ended = True
-        self.run_s = time.perf_counter() - self._sent_at
+        self.server_finished = True
+        self.duration_s = time.perf_counter() - self._sent_at
         self.reusable = self._response.keep_alive
 
 
--- a/marigoldchute/routing/budget.py
+++ b/marigoldchute/routing/budget.py
@@ -31,7 +31,7 @@
         self._tokens = burst
         self._refilled_at = float("-inf")
 
-    def take(self, count: float, now: float) -> bool:
+    def try_acquire(self, count: float, now: float) -> bool:
         """Acquire tokens if there are enough; return whether there were."""
         self._refill(now)
         if self._tokens < count:
@@ -97,7 +97,7 @@
         if self._ratio_tokens >= 1.0:
             self._ratio_tokens -= 1.0
             return True
-        return self._min_rate_bucket.take(1.0, now)
+        return self._min_rate_bucket.try_acquire(1.0, now)
 
 
 class RetryLimit(Protocol):
--- a/marigoldchute/routing/call.py
+++ b/marigoldchute/routing/call.py
@@ -8,7 +8,7 @@
 import trio
 
 from marigoldchute.errors import NotRunError, PeerError, ResultCode
-from marigoldchute.routing.http_request import CallerGoneError
+from marigoldchute.routing.http_request import CallerDisconnectedError
 from marigoldchute.routing.messages import RESPONSE_DECODER, RequestHead, ResponseHead
 from marigoldchute.routing.request_body import RequestBody
 
@@ -21,7 +21,7 @@
     from marigoldchute.routing.target import Target
 
 
-SERVER_FAILURE = 500  # Lowest status of a response that counts as an error.
+MIN_SERVER_ERROR_STATUS = 500  # Lowest status of a response that counts as an error.
 RETRYABLE_STATUSES = frozenset((500, 502, 503))  # Not 504: no time is left for a retry.
 
 
@@ -36,7 +36,7 @@
         Head of the response to the latest attempt, if there is one.
     objective : float
         Monotonic time of the latency objective; 0 when the route has none.
-    trail : list of str
+    attempt_log : list of str
         For each attempt its VM, outcome, time and the load that was expected there.
     delivered_attempts : int
         Number of attempts that may have reached a backend server.
@@ -71,7 +71,7 @@
     ) -> None:
         self.req = req
         self.responder = responder
-        self.entry = entry
+        self.route_entry = entry
         self.service = service
         self.split = split
         self.release = release
@@ -81,11 +81,11 @@
         self.caller_service = caller_service
         self.started_at = started_at
         self.bundle_version = bundle_version
-        self.trail: list[str] = []
+        self.attempt_log: list[str] = []
         self.idempotent = entry.is_idempotent(req.method)
         self.body = RequestBody(req)
         self.attempted: set[Target] = set()
-        self.tries = 0
+        self.attempts = 0
         self.delivered_attempts = 0
         self.refused_attempts = 0
         self.may_have_run = False
@@ -97,7 +97,7 @@
 
     def make_request_head(self, target: Target, now: float) -> RequestHead:
         """Return the request's head for an attempt at a target."""
-        route = self.entry.route
+        route = self.route_entry.route
         req = self.req
         return RequestHead(
             self.request_id,
@@ -117,50 +117,50 @@
             max(0, int((self.objective - now) * 1000)),
         )
 
-    def take_whole_body(self) -> bytes | None:
+    def pop_complete_body(self) -> bytes | None:
         """Return the complete body if all of it has arrived, else None."""
-        return self.body.take_whole()
+        return self.body.pop_complete_body()
 
     async def receive(self) -> bytes | None:
         """Return the next part of the body, or None at its end."""
         return await self.body.receive()
 
-    async def send_whole(self, head: ResponseHead, body: bytes) -> None:
+    async def send_complete(self, head: ResponseHead, body: bytes) -> None:
         """Send a complete response to the caller, or retain an error response."""
         self.response_head = head
         if self.retains_errors and head.status in RETRYABLE_STATUSES:
             self.retained_error = (head, body)
             return
         try:
-            await self.responder.send_whole(
+            await self.responder.send_complete(
                 head.status, head.header_block, head.has_length, body
             )
         except (OSError, trio.ClosedResourceError) as exc:
-            raise CallerGoneError("connection of the caller failed") from exc
+            raise CallerDisconnectedError("connection of the caller failed") from exc
 
     async def send_head(self, head: ResponseHead, body: bytes) -> None:
         """Send the head of a response and the first part of its body."""
         self.response_head = head
         try:
-            await self.responder.start_block(
+            await self.responder.start_encoded(
                 head.status, head.header_block, head.has_length, body
             )
         except (OSError, trio.ClosedResourceError) as exc:
-            raise CallerGoneError("connection of the caller failed") from exc
+            raise CallerDisconnectedError("connection of the caller failed") from exc
 
     async def send(self, data: bytes) -> None:
         """Send a further part of the response body."""
         try:
             await self.responder.send(data)
         except (OSError, trio.ClosedResourceError) as exc:
-            raise CallerGoneError("connection of the caller failed") from exc
+            raise CallerDisconnectedError("connection of the caller failed") from exc
 
     async def finish(self) -> None:
         """Mark the response as complete."""
         try:
             await self.responder.finish()
         except (OSError, trio.ClosedResourceError) as exc:
-            raise CallerGoneError("connection of the caller failed") from exc
+            raise CallerDisconnectedError("connection of the caller failed") from exc
 
     async def send_body(self, stream: Stream) -> None:
         """Send the request body to the owner."""
@@ -188,14 +188,14 @@
                 head.retry_after_ms / 1000,
             )
         self.link_bytes += len(head.header_block)
-        body = stream.take_whole()
+        body = stream.pop_complete_data()
         if body is not None:
             self.link_bytes += len(body)
-            await self.send_whole(head, body)
+            await self.send_complete(head, body)
             return
         first_data = await stream.receive()
         if first_data is None:
-            await self.send_whole(head, b"")
+            await self.send_complete(head, b"")
             return
         self.link_bytes += len(first_data)
         await self.send_head(head, first_data)
--- a/marigoldchute/routing/candidates.py
+++ b/marigoldchute/routing/candidates.py
@@ -21,13 +21,13 @@
     ----------
     own : tuple of Target
         Targets on this node's VM.
-    centre, region, remote : tuple of Target
+    data_centre, region, remote : tuple of Target
         Targets in the data centre (including those of the own VM), elsewhere in the
         region, and in other regions.
     """
 
     own: tuple[Target, ...] = ()
-    centre: tuple[Target, ...] = ()
+    data_centre: tuple[Target, ...] = ()
     region: tuple[Target, ...] = ()
     remote: tuple[Target, ...] = ()
 
--- a/marigoldchute/routing/choice.py
+++ b/marigoldchute/routing/choice.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
+class PickInfo:
     """Properties of a request that the choice of a target depends on.
 
     Parameters
@@ -39,7 +39,7 @@
     objective_s: float = 0.0
 
 
-NO_PICK_INFO = Wish()
+NO_PICK_INFO = PickInfo()
 
 
 class Chooser(Protocol):
@@ -51,7 +51,7 @@
         attempted: set[Target],
         now: float,
         now_ms: int,
-        pick_info: Wish = NO_PICK_INFO,
+        pick_info: PickInfo = NO_PICK_INFO,
     ) -> Target | None:
         """Return the target of the next attempt, or None when there is none.
 
@@ -65,14 +65,16 @@
             Monotonic time in seconds.
         now_ms : int
             Wall-clock time in milliseconds since the epoch.
-        pick_info : Wish
+        pick_info : PickInfo
             Properties of the request.
         """
 
     def record_run_time(self, target: Target, route: str, run_ms: float) -> None:
         """Record the time that a target took to run a request of a route."""
 
-    def take_failure(self, target: Target, candidates: Candidates, now: float) -> None:
+    def record_failure(
+        self, target: Target, candidates: Candidates, now: float
+    ) -> None:
         """Record a failed attempt, which may eject the target."""
 
     def charge_link(self, target: Target, byte_count: int, now: float) -> None:
@@ -91,10 +93,10 @@
         attempted: set[Target],
         now: float,
         now_ms: int,
-        pick_info: Wish = NO_PICK_INFO,
+        pick_info: PickInfo = NO_PICK_INFO,
     ) -> Target | None:
         """Return a random target of the nearest tier that has one left."""
-        for tier in (candidates.centre, candidates.region, candidates.remote):
+        for tier in (candidates.data_centre, candidates.region, candidates.remote):
             remaining = [target for target in tier if target not in attempted]
             if remaining:
                 return self._rng.choice(remaining)
@@ -103,7 +105,9 @@
     def record_run_time(self, target: Target, route: str, run_ms: float) -> None:
         """Do nothing."""
 
-    def take_failure(self, target: Target, candidates: Candidates, now: float) -> None:
+    def record_failure(
+        self, target: Target, candidates: Candidates, now: float
+    ) -> None:
         """Do nothing."""
 
     def charge_link(self, target: Target, byte_count: int, now: float) -> None:
@@ -147,13 +151,13 @@
         attempted: set[Target],
         now: float,
         now_ms: int,
-        pick_info: Wish = NO_PICK_INFO,
+        pick_info: PickInfo = NO_PICK_INFO,
     ) -> Target | None:
         """Return the target of the next attempt, or None when there is none."""
         own = self._choose_own(candidates.own, attempted, now, now_ms)
         if own is not None:
             return own
-        for tier in (candidates.centre, candidates.region):
+        for tier in (candidates.data_centre, candidates.region):
             target = self._choose_in_tier(tier, attempted, now, now_ms)
             if target is not None:
                 return target
@@ -166,11 +170,13 @@
     def record_run_time(self, target: Target, route: str, run_ms: float) -> None:
         """Do nothing: this policy uses the latency that the entry node measures."""
 
-    def take_failure(self, target: Target, candidates: Candidates, now: float) -> None:
+    def record_failure(
+        self, target: Target, candidates: Candidates, now: float
+    ) -> None:
         """Eject an outlier unless too many targets of its tier are already ejected."""
         if not target.is_outlier:
             return
-        for tier in (candidates.centre, candidates.region, candidates.remote):
+        for tier in (candidates.data_centre, candidates.region, candidates.remote):
             if target not in tier:
                 continue
             ejected = sum(other.ejected_until > now for other in tier)
@@ -233,7 +239,7 @@
 
         An attempt there may succeed, where a refusal certainly fails.
         """
-        for tier in (candidates.centre, candidates.region):
+        for tier in (candidates.data_centre, candidates.region):
             remaining = [target for target in tier if target not in attempted]
             if remaining:
                 return min(remaining, key=_unavailable_until)
--- a/marigoldchute/routing/dialect.py
+++ b/marigoldchute/routing/dialect.py
@@ -18,14 +18,14 @@
     not_run : bytes
         Header that a backend server sets on the response to a request that it did
         not run.
-    echoes_id : bool
+    echoes_request_id : bool
         Whether backend servers copy the id of the request into their responses.
     expected_server : bytes
         Header with the instance of the backend server that may run the request.
     caller_service : bytes
         Header with the service on whose VM the request originated; set by the entry
         node only.
-    keeps_given_id : bool
+    forwards_given_id : bool
         Whether the id that a caller sends is forwarded, whoever the caller is.
     accepts_unframed : bool
         Whether a response may have no length and end when its connection closes.
@@ -37,15 +37,15 @@
     deadline: bytes = b"marigoldchute-deadline-ms"
     request_id: bytes = b"marigoldchute-request-id"
     not_run: bytes = b"marigoldchute-not-run"
-    echoes_id: bool = False
+    echoes_request_id: bool = False
     expected_server: bytes = b""
     caller_service: bytes = b""
-    keeps_given_id: bool = False
+    forwards_given_id: bool = False
     accepts_unframed: bool = False
     misdirected_status: int = 0
 
     @property
-    def own_request_headers(self) -> frozenset[bytes]:
+    def mesh_request_headers(self) -> frozenset[bytes]:
         """Request headers that the mesh sets and never forwards as received."""
         names = (
             self.deadline,
@@ -56,4 +56,4 @@
         return frozenset(name for name in names if name)
 
 
-OWN_DIALECT = Dialect()
+DEFAULT_DIALECT = Dialect()
--- a/marigoldchute/routing/dispatch.py
+++ b/marigoldchute/routing/dispatch.py
@@ -14,7 +14,7 @@
     RequestError,
     ResultCode,
 )
-from marigoldchute.routing.call import SERVER_FAILURE
+from marigoldchute.routing.call import MIN_SERVER_ERROR_STATUS
 from marigoldchute.routing.duplex import send_and_receive
 from marigoldchute.routing.failure import SHED_CODES, outcome_of
 from marigoldchute.routing.messages import ENCODER
@@ -101,11 +101,11 @@
             else:
                 await self._attempt_remote(call, target, head)
             assert call.response_head is not None
-            is_error = call.response_head.status >= SERVER_FAILURE
+            is_error = call.response_head.status >= MIN_SERVER_ERROR_STATUS
             outcome = Outcome.ERROR if is_error else Outcome.OK
         except trio.Cancelled:
-            caller_gone = call.req.caller_gone
-            outcome = Outcome.CANCELLED if caller_gone else Outcome.OVERDUE
+            caller_disconnected = call.req.caller_disconnected
+            outcome = Outcome.CANCELLED if caller_disconnected else Outcome.OVERDUE
             raise
         except (RequestError, PeerError, AuthError) as exc:
             outcome = outcome_of(exc)
@@ -116,7 +116,7 @@
         finally:
             target.in_flight -= 1
             latency_ms = (time.perf_counter() - started) * 1000
-            call.trail.append(
+            call.attempt_log.append(
                 f"{target.member.name} {target.server.server_id} {outcome.value}"
                 f" code={code.value} ms={latency_ms:.0f} load={expected_load:.1f}"
                 f"/{target.server.slots}"
@@ -129,7 +129,7 @@
         link = self._traffic.live(target.member.name)
         if link is None:
             link = await self._open_link(target)
-        body = call.body.take_whole()
+        body = call.body.pop_complete_body()
         encoded = ENCODER.encode(head)
         try:
             stream = link.open_stream(encoded, body)
@@ -178,18 +178,20 @@
         now_ms = self._clock.now_ms()
         response_head = call.response_head
         if outcome in (Outcome.OK, Outcome.ERROR):
-            target.take_answer(latency_ms, outcome is Outcome.ERROR)
+            target.record_response(latency_ms, outcome is Outcome.ERROR)
         if outcome in (Outcome.UNKNOWN, Outcome.OVERDUE, Outcome.NOT_RUN):
             target.record_failure()
         if outcome is not Outcome.OK:
-            self._chooser.take_failure(target, candidates, now)
+            self._chooser.record_failure(target, candidates, now)
         if response_head is not None:
             target.record_load(response_head.load, now)
             if outcome is Outcome.OK:
                 run_ms = response_head.backend_us / 1000
-                self._chooser.record_run_time(target, call.entry.route.name, run_ms)
+                self._chooser.record_run_time(
+                    target, call.route_entry.route.name, run_ms
+                )
         self._sink.record(
-            call.entry.route.name,
+            call.route_entry.route.name,
             call.service.name,
             call.release,
             call.split.move_id,
--- a/marigoldchute/routing/entry.py
+++ b/marigoldchute/routing/entry.py
@@ -15,15 +15,15 @@
     ResultCode,
 )
 from marigoldchute.routing.budget import RetryBudget
-from marigoldchute.routing.call import SERVER_FAILURE, Call
+from marigoldchute.routing.call import MIN_SERVER_ERROR_STATUS, Call
 from marigoldchute.routing.candidates import CandidateTables
-from marigoldchute.routing.choice import Wish
-from marigoldchute.routing.dialect import OWN_DIALECT
+from marigoldchute.routing.choice import PickInfo
+from marigoldchute.routing.dialect import DEFAULT_DIALECT
 from marigoldchute.routing.dispatch import Dispatcher
 from marigoldchute.routing.failure import error_to_report, outcome_of
 from marigoldchute.routing.first_bundle import FirstBundleWait
-from marigoldchute.routing.headers import parse_deadline_ms, request_block
-from marigoldchute.routing.http_request import CallerGoneError
+from marigoldchute.routing.headers import encode_request_headers, parse_deadline_ms
+from marigoldchute.routing.http_request import CallerDisconnectedError
 from marigoldchute.routing.metrics import RouteMetrics
 from marigoldchute.routing.outcomes import Outcome
 from marigoldchute.routing.policy import STREAMING_POLICY
@@ -116,13 +116,13 @@
         log: EventLog,
         clock: Clock,
         rng: random.Random,
-        dialect: Dialect = OWN_DIALECT,
+        dialect: Dialect = DEFAULT_DIALECT,
         policy: PathPolicy = STREAMING_POLICY,
         retry_budget: RetryLimit | None = None,
         caller_service: Callable[[], str] = _no_service,
     ) -> None:
         self.metrics = RouteMetrics()
-        self.tables = CandidateTables(members)
+        self.candidate_tables = CandidateTables(members)
         self.retry_budget: RetryLimit = retry_budget or RetryBudget(
             RETRY_RATIO, MIN_RETRIES_PER_S, RETRY_BURST
         )
@@ -134,7 +134,7 @@
         self._clock = clock
         self._rng = rng
         self._dialect = dialect
-        self._own_request_headers = dialect.own_request_headers
+        self._own_request_headers = dialect.mesh_request_headers
         self._policy = policy
         self._first_bundle = FirstBundleWait(policy.first_bundle_wait_s)
         self._caller_service = caller_service
@@ -169,8 +169,8 @@
             await self._execute_call(call)
             if call.response_head is not None:
                 now = trio.current_time()
-                self._request_log.emit_answered(call, call.response_head.status, now)
-        except CallerGoneError:
+                self._request_log.emit_response(call, call.response_head.status, now)
+        except CallerDisconnectedError:
             outcome = Outcome.CANCELLED
         except (RequestError, PeerError, AuthError) as exc:
             outcome = outcome_of(exc)
@@ -224,7 +224,7 @@
             split,
             self._release_choice.pick_release(req, entry, service, split),
             self._request_id(req, internal),
-            request_block(req.headers, self._own_request_headers),
+            encode_request_headers(req.headers, self._own_request_headers),
             received_at + timeout_ms / 1000,
             received_at + objective_ms / 1000 if objective_ms else 0.0,
             self._caller_service(),
@@ -251,22 +251,24 @@
 
     def _request_id(self, req: HttpRequest, internal: bool) -> str:
         given_id = None
-        if internal or self._dialect.keeps_given_id:
+        if internal or self._dialect.forwards_given_id:
             given_id = req.header(self._dialect.request_id)
         if given_id:
             return given_id.decode("latin-1")
         return (
-            "" if self._dialect.keeps_given_id else f"{self._rng.getrandbits(64):016x}"
+            ""
+            if self._dialect.forwards_given_id
+            else f"{self._rng.getrandbits(64):016x}"
         )
 
     async def _execute_call(self, call: Call) -> None:
         with trio.CancelScope(deadline=call.deadline) as scope:
-            call.req.scope = scope
+            call.req.cancel_scope = scope
             await self._attempt_until_done(call)
         if not scope.cancelled_caught:
             return
-        if call.req.caller_gone:
-            raise CallerGoneError("caller closed the connection")
+        if call.req.caller_disconnected:
+            raise CallerDisconnectedError("caller closed the connection")
         if call.retained_error is not None and not call.responder.started:
             await self._forward_retained_error(call)
             return
@@ -283,7 +285,7 @@
         service = call.service.name
         self.retry_budget.record_request(trio.current_time(), service)
         while True:
-            call.tries += 1
+            call.attempts += 1
             call.retains_errors = self._may_retain_error(call)
             try:
                 target, candidates = self._choose(call)
@@ -311,7 +313,7 @@
             self._policy.retry_errors
             and call.idempotent
             and call.retained_error is None
-            and call.delivered_attempts + 1 < call.entry.route.max_attempts
+            and call.delivered_attempts + 1 < call.route_entry.route.max_attempts
         )
 
     async def _forward_retained_error(self, call: Call) -> None:
@@ -319,19 +321,21 @@
         assert call.retained_error is not None
         call.retains_errors = False
         head, body = call.retained_error
-        await call.send_whole(head, body)
+        await call.send_complete(head, body)
 
     def _choose(self, call: Call) -> tuple[Target, Candidates]:
         now = trio.current_time()
         now_ms = self._clock.now_ms()
         service = call.service.name
-        pick_info = Wish(call.entry.route.name, max(0.0, call.objective - now))
-        candidates = self.tables.find(service, call.release, now)
+        pick_info = PickInfo(
+            call.route_entry.route.name, max(0.0, call.objective - now)
+        )
+        candidates = self.candidate_tables.find(service, call.release, now)
         target = self._chooser.choose(
             candidates, call.attempted, now, now_ms, pick_info
         )
         if target is None and self._fall_back_to_old_release(call, now_ms):
-            candidates = self.tables.find(service, call.release, now)
+            candidates = self.candidate_tables.find(service, call.release, now)
             target = self._chooser.choose(
                 candidates, call.attempted, now, now_ms, pick_info
             )
@@ -349,7 +353,7 @@
         if call.attempted or split.share >= 1.0 or call.release == split.old_release:
             return False
         self._sink.record(
-            call.entry.route.name,
+            call.route_entry.route.name,
             call.service.name,
             call.release,
             split.move_id,
@@ -363,9 +367,9 @@
         return True
 
     def _may_retry(self, call: Call, exc: MarigoldchuteError, now: float) -> bool:
-        if call.responder.started or not call.body.rewindable:
+        if call.responder.started or not call.body.is_rewindable:
             return False
-        if exc.code in CALLER_ERROR_CODES or isinstance(exc, CallerGoneError):
+        if exc.code in CALLER_ERROR_CODES or isinstance(exc, CallerDisconnectedError):
             return False
         if call.may_have_run and not call.idempotent:
             return False
@@ -382,7 +386,7 @@
         if not reached_backend:
             return True  # Only attempts that reach a backend server count as retries.
         call.delivered_attempts += 1
-        if call.delivered_attempts >= call.entry.route.max_attempts:
+        if call.delivered_attempts >= call.route_entry.route.max_attempts:
             return False
         return self.retry_budget.acquire_retry(now, call.service.name)
 
@@ -390,6 +394,9 @@
         total_us = int((time.perf_counter() - started) * 1_000_000)
         if call.response_head is not None:
             total_us -= call.response_head.backend_us
-            if outcome is Outcome.OK and call.response_head.status >= SERVER_FAILURE:
+            if (
+                outcome is Outcome.OK
+                and call.response_head.status >= MIN_SERVER_ERROR_STATUS
+            ):
                 outcome = Outcome.ERROR
-        self.metrics.record(call.entry.route.name, outcome.value, total_us)
+        self.metrics.record(call.route_entry.route.name, outcome.value, total_us)
--- a/marigoldchute/routing/exchange.py
+++ b/marigoldchute/routing/exchange.py
@@ -13,7 +13,7 @@
 class Exchange(Protocol):
     """Provides the body of a request and receives its response."""
 
-    def take_whole_body(self) -> bytes | None:
+    def pop_complete_body(self) -> bytes | None:
         """Return the complete body if all of it has arrived, else None."""
 
     async def receive(self) -> bytes | None:
@@ -25,7 +25,7 @@
             The body ends before it is complete.
         """
 
-    async def send_whole(self, head: ResponseHead, body: bytes) -> None:
+    async def send_complete(self, head: ResponseHead, body: bytes) -> None:
         """Send a complete response."""
 
     async def send_head(self, head: ResponseHead, body: bytes) -> None:
@@ -45,18 +45,18 @@
         self._stream = stream
         self.started = False
 
-    def take_whole_body(self) -> bytes | None:
+    def pop_complete_body(self) -> bytes | None:
         """Return the complete body if all of it has arrived, else None."""
-        return self._stream.take_whole()
+        return self._stream.pop_complete_data()
 
     async def receive(self) -> bytes | None:
         """Return the next piece of the body, or None after the last one."""
         return await self._stream.receive()
 
-    async def send_whole(self, head: ResponseHead, body: bytes) -> None:
+    async def send_complete(self, head: ResponseHead, body: bytes) -> None:
         """Send a complete response."""
         self.started = True
-        await self._stream.send_whole(ENCODER.encode(head), body)
+        await self._stream.send_complete(ENCODER.encode(head), body)
 
     async def send_head(self, head: ResponseHead, body: bytes) -> None:
         """Send the head of a response and the first piece of its body."""
--- a/marigoldchute/routing/failure.py
+++ b/marigoldchute/routing/failure.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from marigoldchute.errors import NotRunError, RequestError, ResultCode
-from marigoldchute.routing.http_request import CallerGoneError
+from marigoldchute.routing.http_request import CallerDisconnectedError
 from marigoldchute.routing.outcomes import Outcome
 from marigoldchute.routing.refusal import CALLER_ERROR_CODES
 
@@ -24,7 +24,7 @@
 
 def outcome_of(exc: MarigoldchuteError) -> Outcome:
     """Return the outcome of an attempt that ended with an error."""
-    if isinstance(exc, CallerGoneError) or exc.code in CALLER_ERROR_CODES:
+    if isinstance(exc, CallerDisconnectedError) or exc.code in CALLER_ERROR_CODES:
         return Outcome.CANCELLED
     if isinstance(exc, NotRunError):
         return Outcome.SHED if exc.code in SHED_CODES else Outcome.NOT_RUN
--- a/marigoldchute/routing/first_bundle.py
+++ b/marigoldchute/routing/first_bundle.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from marigoldchute.routing.http_request import CallerGoneError
+from marigoldchute.routing.http_request import CallerDisconnectedError
 
 if TYPE_CHECKING:
     from marigoldchute.routing.http_request import HttpRequest
@@ -45,7 +45,7 @@
 
         Raises
         ------
-        CallerGoneError
+        CallerDisconnectedError
             The caller closed its connection meanwhile.
         """
         if self._deadline is None:
@@ -53,7 +53,7 @@
         if now >= self._deadline:
             return
         with trio.move_on_at(self._deadline) as scope:
-            req.scope = scope
+            req.cancel_scope = scope
             await self._bundle_received.wait()
-        if req.caller_gone:
-            raise CallerGoneError("caller closed the connection")
+        if req.caller_disconnected:
+            raise CallerDisconnectedError("caller closed the connection")
--- a/marigoldchute/routing/headers.py
+++ b/marigoldchute/routing/headers.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from marigoldchute.routing.dialect import OWN_DIALECT
+from marigoldchute.routing.dialect import DEFAULT_DIALECT
 
 if TYPE_CHECKING:
     from marigoldchute.routing.messages import HeaderList
@@ -31,9 +31,9 @@
 )
 
 
-def request_block(
+def encode_request_headers(
     headers: HeaderList,
-    mesh_headers: frozenset[bytes] = OWN_DIALECT.own_request_headers,
+    mesh_headers: frozenset[bytes] = DEFAULT_DIALECT.mesh_request_headers,
 ) -> bytes:
     """Encode the end-to-end headers of a request.
 
--- a/marigoldchute/routing/http_request.py
+++ b/marigoldchute/routing/http_request.py
@@ -22,7 +22,7 @@
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-class CallerGoneError(RequestError):
+class CallerDisconnectedError(RequestError):
     """The caller closed its connection before it received a response."""
 
 
@@ -31,16 +31,17 @@
 
     Attributes
     ----------
-    scope : trio.CancelScope or None
+    cancel_scope : trio.CancelScope or None
         Set by the handler; cancelled when the caller disconnects.
-    caller_gone : bool
+    caller_disconnected : bool
         Whether the caller disconnected.
     """
 
     __slots__ = (
         "_conn_parser",
         "_expects_continue",
-        "caller_gone",
+        "caller_disconnected",
+        "cancel_scope",
         "chunks",
         "complete",
         "has_body",
@@ -48,7 +49,6 @@
         "http_version",
         "keep_alive",
         "method",
-        "scope",
         "target",
     )
 
@@ -62,8 +62,8 @@
         self.has_body = False
         self.complete = False
         self.chunks: list[bytes] = []  # Short; an empty deque takes 760 bytes.
-        self.scope: trio.CancelScope | None = None
-        self.caller_gone = False
+        self.cancel_scope: trio.CancelScope | None = None
+        self.caller_disconnected = False
         self._expects_continue = False
 
     def header(self, name: bytes) -> bytes | None:
@@ -147,16 +147,16 @@
         """Send the status and headers together with the first piece of the body."""
         block = b"".join([b"%s: %s\r\n" % pair for pair in headers])
         has_length = any(name == b"content-length" for name, _ in headers)
-        await self.start_block(status, block, has_length, body)
+        await self.start_encoded(status, block, has_length, body)
 
-    async def start_block(
+    async def start_encoded(
         self, status: int, block: bytes, has_length: bool, body: bytes
     ) -> None:
         """Send the status, encoded headers and the first piece of the body together."""
         head = self._encode_head(status, block, has_length)
         await self._tcp.send(head + self._encode_piece(body))
 
-    async def send_whole(
+    async def send_complete(
         self, status: int, block: bytes, has_length: bool, body: bytes
     ) -> None:
         """Send a complete response, in one write if the kernel accepts it."""
@@ -285,9 +285,9 @@
         try:
             data = await self.tcp.receive(RECEIVE_BYTES)
         except OSError as exc:
-            raise CallerGoneError(f"caller's connection broke: {exc}") from exc
+            raise CallerDisconnectedError(f"caller's connection broke: {exc}") from exc
         if not data:
-            raise CallerGoneError("caller closed the connection")
+            raise CallerDisconnectedError("caller closed the connection")
         self.feed(data)
 
     def feed(self, data: bytes) -> None:
--- a/marigoldchute/routing/http_server.py
+++ b/marigoldchute/routing/http_server.py
@@ -11,7 +11,7 @@
 from marigoldchute.errors import RequestError, ResultCode
 from marigoldchute.routing.http_request import (
     CallerConnParser,
-    CallerGoneError,
+    CallerDisconnectedError,
     HttpRequest,
     HttpResponder,
 )
@@ -58,7 +58,7 @@
         self.expires_at = 0.0
 
 
-class HttpEdge:
+class HttpServer:
     """Serves callers' connections and detects callers that disconnect.
 
     One task monitors all connections: it cancels the requests of callers that closed
@@ -160,7 +160,7 @@
             if not requests:
                 try:
                     await self._read_head(conn)
-                except CallerGoneError:
+                except CallerDisconnectedError:
                     return
                 except RequestError as exc:
                     await _send_refusal(conn.tcp, exc)
@@ -239,9 +239,9 @@
         for fd, _ in poller.poll(0):
             req = conns_by_fd[fd].request
             if req is not None:
-                req.caller_gone = True
-                if req.scope is not None:
-                    req.scope.cancel()
+                req.caller_disconnected = True
+                if req.cancel_scope is not None:
+                    req.cancel_scope.cancel()
 
     def _close_expired(self, now: float) -> None:
         for conn in tuple(self._conns):
@@ -270,7 +270,7 @@
 async def _handle_request_error(
     tcp: TcpConn, responder: HttpResponder, exc: RequestError
 ) -> None:
-    if responder.started or isinstance(exc, CallerGoneError):
+    if responder.started or isinstance(exc, CallerDisconnectedError):
         tcp.abort()
     else:
         await _send_refusal(tcp, exc)
--- a/marigoldchute/routing/least_time.py
+++ b/marigoldchute/routing/least_time.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from marigoldchute.routing.choice import NO_PICK_INFO, Wish
+from marigoldchute.routing.choice import NO_PICK_INFO, PickInfo
 
 if TYPE_CHECKING:
     import random
@@ -55,10 +55,12 @@
         attempted: set[Target],
         now: float,
         now_ms: int,
-        pick_info: Wish = NO_PICK_INFO,
+        pick_info: PickInfo = NO_PICK_INFO,
     ) -> Target | None:
         """Return the target of the next attempt, or None when there is none."""
-        best, best_ms = self._best(candidates.centre, attempted, now, now_ms, pick_info)
+        best, best_ms = self._best(
+            candidates.data_centre, attempted, now, now_ms, pick_info
+        )
         other, other_ms = self._best(
             candidates.region, attempted, now, now_ms, pick_info
         )
@@ -78,7 +80,7 @@
             return remote
         if best is not None:
             return best
-        all_targets = (*candidates.centre, *candidates.region, *candidates.remote)
+        all_targets = (*candidates.data_centre, *candidates.region, *candidates.remote)
         return _first_available(all_targets, attempted)
 
     def record_run_time(self, target: Target, route: str, run_ms: float) -> None:
@@ -92,12 +94,14 @@
             1.0, typical_ms + RUN_TIME_EWMA_WEIGHT * (run_ms - typical_ms)
         )
 
-    def take_failure(self, target: Target, candidates: Candidates, now: float) -> None:
+    def record_failure(
+        self, target: Target, candidates: Candidates, now: float
+    ) -> None:
         """Eject a target that fails far more often than the others of its release."""
         others = [
             other
             for other in (
-                *candidates.centre,
+                *candidates.data_centre,
                 *candidates.region,
                 *candidates.remote,
             )
@@ -120,7 +124,7 @@
         """Do nothing: remote targets are the last choice without a budget."""
 
     def expected_ms(
-        self, target: Target, now: float, now_ms: int, pick_info: Wish
+        self, target: Target, now: float, now_ms: int, pick_info: PickInfo
     ) -> float:
         """Return the expected response time of a target in milliseconds."""
         run_ms = (
@@ -139,7 +143,7 @@
         attempted: set[Target],
         now: float,
         now_ms: int,
-        pick_info: Wish,
+        pick_info: PickInfo,
     ) -> tuple[Target | None, float]:
         best, best_ms, best_cost = None, 0.0, float("inf")
         for target in targets:
--- a/marigoldchute/routing/owner.py
+++ b/marigoldchute/routing/owner.py
@@ -15,8 +15,8 @@
 )
 from marigoldchute.routing.admission import AdmissionGate
 from marigoldchute.routing.backend_conn import BackendConnPool
-from marigoldchute.routing.backend_run import BackendRun
-from marigoldchute.routing.dialect import OWN_DIALECT, Dialect
+from marigoldchute.routing.backend_run import BackendAttempt
+from marigoldchute.routing.dialect import DEFAULT_DIALECT, Dialect
 from marigoldchute.routing.exchange import StreamExchange
 from marigoldchute.routing.messages import ENCODER, REQUEST_DECODER, ResponseHead
 from marigoldchute.routing.policy import STREAMING_POLICY, PathPolicy
@@ -84,7 +84,7 @@
         self,
         servers: LocalServers,
         address: str,
-        dialect: Dialect = OWN_DIALECT,
+        dialect: Dialect = DEFAULT_DIALECT,
         policy: PathPolicy = STREAMING_POLICY,
         log: RequestLog | None = None,
     ) -> None:
@@ -157,7 +157,7 @@
                 load=owned.gate.load if owned is not None else 0,
                 retry_after_ms=int(exc.retry_after_s * 1000),
             )
-            await stream.send_whole(ENCODER.encode(refusal), b"")
+            await stream.send_complete(ENCODER.encode(refusal), b"")
         except PeerError as exc:
             self._log_failed_request(head, exc)
             stream.reset(ResultCode.REQUEST_OUTCOME_UNKNOWN)
@@ -169,7 +169,7 @@
         if self._log is not None:
             owned = self._find(head.server_id)
             load = owned.gate.load if owned is not None else 0
-            self._log.emit_owner(head, exc, load, trio.current_time())
+            self._log.emit_owner_failure(head, exc, load, trio.current_time())
 
     async def execute(self, head: RequestHead, exchange: Exchange) -> None:
         """Run one request on the backend server named in its head.
@@ -200,11 +200,11 @@
             remaining_ms = max(1, remaining_ms - waited_ms)
         running = gate.running
         try:
-            conn = await owned.pool.take(head.idempotent, server.connections)
+            conn = await owned.pool.acquire(head.idempotent, server.connections)
         except BaseException:
             gate.release_slot()
             raise
-        run = BackendRun(
+        run = BackendAttempt(
             head,
             exchange,
             conn,
@@ -220,25 +220,25 @@
             self._release_failed(owned, run, isinstance(exc, trio.Cancelled))
             raise
         now = trio.current_time()
-        gate.record_sample(run.run_s, running, now)
+        gate.record_sample(run.duration_s, running, now)
         if run.reusable and not gate.draining:
-            conn.limit_idle(run.keep_alive_s)
-            owned.pool.give_back(conn, now)
+            conn.limit_idle_reuse(run.keep_alive_s)
+            owned.pool.release(conn, now)
         else:
             owned.pool.discard(conn)
         gate.release_slot()
 
     def _release_failed(
-        self, owned: OwnedServer, run: BackendRun, cancelled: bool
+        self, owned: OwnedServer, run: BackendAttempt, cancelled: bool
     ) -> None:
         if run.refused:
             owned.gate.record_refusal(trio.current_time())
-        may_still_run = run.written and not run.ended
+        may_still_run = run.written and not run.server_finished
         if may_still_run and self._nursery is not None:
             self._nursery.start_soon(self._wait_abandoned, owned, run.conn)
             return
         if run.refused and run.reusable:
-            owned.pool.give_back(run.conn, trio.current_time())
+            owned.pool.release(run.conn, trio.current_time())
         else:
             owned.pool.discard(run.conn)
         owned.gate.release_slot()
@@ -246,7 +246,7 @@
     async def _wait_abandoned(self, owned: OwnedServer, conn: BackendConn) -> None:
         # The slot stays in use, as the backend server may still run the request.
         try:
-            await conn.wait_abandoned()
+            await conn.wait_for_abandoned_request()
         finally:
             owned.pool.discard(conn)
             owned.gate.release_slot()
--- a/marigoldchute/routing/path.py
+++ b/marigoldchute/routing/path.py
@@ -11,7 +11,7 @@
 from marigoldchute.overlay.records import RecordKind
 from marigoldchute.routing.choice import NearestLeastLoaded
 from marigoldchute.routing.entry import Entry
-from marigoldchute.routing.http_server import HttpEdge
+from marigoldchute.routing.http_server import HttpServer
 from marigoldchute.routing.owner import Owner
 
 if TYPE_CHECKING:
@@ -92,11 +92,11 @@
             clock,
             rng,
         )
-        self._caller_edge = HttpEdge(self.entry.handle_external, self._log_failure)
-        self._internal_edge = HttpEdge(self._handle_internal, self._log_failure)
-        membership.on_view.append(self.entry.tables.mark_stale)
+        self._caller_edge = HttpServer(self.entry.handle_external, self._log_failure)
+        self._internal_edge = HttpServer(self._handle_internal, self._log_failure)
+        membership.on_view.append(self.entry.candidate_tables.mark_stale)
         table.subscribe(
-            RecordKind.MEMBER, lambda record: self.entry.tables.mark_stale()
+            RecordKind.MEMBER, lambda record: self.entry.candidate_tables.mark_stale()
         )
 
     async def run(
--- a/marigoldchute/routing/policy.py
+++ b/marigoldchute/routing/policy.py
@@ -14,7 +14,7 @@
     adaptive_limit : bool
         Whether an owner lowers the concurrency limit of its backend server on rising
         latency and refusals; otherwise the announced slots are the limit.
-    gather_bytes : int
+    max_buffered_response_bytes : int
         Size in bytes up to which a response is buffered until it is complete, so that
         a truncated one can still be replaced by a retry or by an error response; 0
         streams every response.
@@ -28,7 +28,7 @@
     """
 
     adaptive_limit: bool = True
-    gather_bytes: int = 0
+    max_buffered_response_bytes: int = 0
     retry_errors: bool = False
     boost_rare_routes: bool = False
     first_bundle_wait_s: float = 0.0
--- a/marigoldchute/routing/refusal.py
+++ b/marigoldchute/routing/refusal.py
@@ -69,4 +69,4 @@
             b"not-run" if not_run else b"unknown",
         )
     )
-    await responder.send_whole(status, block, True, body)
+    await responder.send_complete(status, block, True, body)
--- a/marigoldchute/routing/release_choice.py
+++ b/marigoldchute/routing/release_choice.py
@@ -57,7 +57,7 @@
             Current split of the service's traffic between releases.
         """
         if self._boost_rare_routes:
-            self._route_mix.add_request(service.name, entry.route.name)
+            self._route_mix.record_request(service.name, entry.route.name)
         if split.share <= 0.0:
             return split.old_release
         if split.share >= 1.0:
--- a/marigoldchute/routing/request_body.py
+++ b/marigoldchute/routing/request_body.py
@@ -28,22 +28,22 @@
         self._buffered: list[bytes] = []
         self._buffered_bytes = 0
         self._position = 0
-        self.rewindable = True
+        self.is_rewindable = True
 
     def rewind(self) -> None:
         """Restart at the first byte."""
         self._position = 0
 
-    def take_whole(self) -> bytes | None:
+    def pop_complete_body(self) -> bytes | None:
         """Return the complete body if it has arrived and fits one frame, else None."""
         req = self._req
         if not req.has_body:
             return b""
-        if not req.complete or not self.rewindable or self._position:
+        if not req.complete or not self.is_rewindable or self._position:
             return None
         while req.chunks:
             self._buffer(req.chunks.pop(0))
-        if not self.rewindable or self._buffered_bytes > MAX_DATA_BYTES:
+        if not self.is_rewindable or self._buffered_bytes > MAX_DATA_BYTES:
             return None
         self._position = len(self._buffered)
         return (
@@ -63,7 +63,7 @@
             self._position += 1
             return piece
         data = await self._req.receive()
-        if data is not None and self.rewindable:
+        if data is not None and self.is_rewindable:
             self._buffer(data)
             self._position = len(self._buffered)
         return data
@@ -72,4 +72,4 @@
         self._buffered.append(data)
         self._buffered_bytes += len(data)
         if self._buffered_bytes > MAX_REPLAY_BYTES:
-            self.rewindable = False
+            self.is_rewindable = False
--- a/marigoldchute/routing/request_log.py
+++ b/marigoldchute/routing/request_log.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from marigoldchute.routing.budget import TokenBucket
-from marigoldchute.routing.call import SERVER_FAILURE
+from marigoldchute.routing.call import MIN_SERVER_ERROR_STATUS
 
 if TYPE_CHECKING:
     from marigoldchute.errors import MarigoldchuteError
@@ -86,14 +86,14 @@
             **_call_fields(call, now),
         )
 
-    def emit_answered(self, call: Call, status: int, now: float) -> None:
+    def emit_response(self, call: Call, status: int, now: float) -> None:
         """Log a request with a response if that is an error, a retry or a sample."""
         self._response_count += 1
-        if status >= SERVER_FAILURE:
+        if status >= MIN_SERVER_ERROR_STATUS:
             if not self._admit("failed", now):
                 return
             event = "backend_failed"
-        elif len(call.trail) > 1:
+        elif len(call.attempt_log) > 1:
             if not self._admit("repeated", now):
                 return
             event = "repeated"
@@ -111,7 +111,7 @@
             **_call_fields(call, now),
         )
 
-    def emit_owner(
+    def emit_owner_failure(
         self, head: RequestHead, exc: MarigoldchuteError, load: int, now: float
     ) -> None:
         """Log a request that the owner refused or got no complete response to."""
@@ -143,7 +143,7 @@
             )
             self._dropped_counts.clear()
             self._dropped_reported_at = now
-        if self._budgets[kind].take(1.0, now):
+        if self._budgets[kind].try_acquire(1.0, now):
             return True
         self._dropped_counts[kind] += 1
         return False
@@ -153,9 +153,9 @@
     if call is None:
         return {"tries": 0}
     return {
-        "tries": call.tries,
-        "trail": call.trail,
-        "route": call.entry.route.name,
+        "tries": call.attempts,
+        "trail": call.attempt_log,
+        "route": call.route_entry.route.name,
         "service": call.service.name,
         "release": call.release,
         "bundle": call.bundle_version,
--- a/marigoldchute/routing/route_mix.py
+++ b/marigoldchute/routing/route_mix.py
@@ -22,7 +22,7 @@
         self._counts: dict[str, dict[str, int]] = {}
         self._totals: dict[str, int] = {}
 
-    def add_request(self, service: str, route: str) -> None:
+    def record_request(self, service: str, route: str) -> None:
         """Record a request."""
         counts = self._counts.setdefault(service, {})
         counts[route] = counts.get(route, 0) + 1
--- a/marigoldchute/routing/target.py
+++ b/marigoldchute/routing/target.py
@@ -105,7 +105,7 @@
         load = (self.in_flight + 1) / self.server.slots
         return (latency_ms + 0.1) * load / self.weight(now_ms)
 
-    def take_answer(self, latency_ms: float, is_error: bool) -> None:
+    def record_response(self, latency_ms: float, is_error: bool) -> None:
         """Record a complete response."""
         self._consecutive_failures = 0
         self._samples += 1
--- a/marigoldchute/standins/backend.py
+++ b/marigoldchute/standins/backend.py
@@ -14,8 +14,8 @@
 
 from marigoldchute.errors import RequestError
 from marigoldchute.membership.announcement import ANNOUNCE_TARGET, Announcement
-from marigoldchute.routing.dialect import OWN_DIALECT
-from marigoldchute.routing.http_server import HttpEdge
+from marigoldchute.routing.dialect import DEFAULT_DIALECT
+from marigoldchute.routing.http_server import HttpServer
 from marigoldchute.standins.backend_faults import (
     FAULTS_TARGET,
     STATE_TARGET,
@@ -92,7 +92,7 @@
         self._cancelled = 0
         self._running = 0
         self._max_running = 0
-        self._http_server = HttpEdge(self._handle_request)
+        self._http_server = HttpServer(self._handle_request)
 
     async def run(self) -> None:
         """Serve requests and send announcements until cancelled."""
@@ -121,7 +121,7 @@
         self._max_running = max(self._max_running, self._running)
         try:
             with trio.CancelScope() as scope:
-                req.scope = scope
+                req.cancel_scope = scope
                 await self._execute_request(req, responder, body_size)
             self._cancelled += scope.cancelled_caught
         finally:
@@ -170,7 +170,7 @@
     async def _call_next_server(self, req: HttpRequest, depth: int) -> int:
         """Call the same path through the node of the VM; return the response status."""
         settings = self._settings
-        deadline_ms = req.header(OWN_DIALECT.deadline) or b"1000"
+        deadline_ms = req.header(DEFAULT_DIALECT.deadline) or b"1000"
         address, port = settings.address, settings.node_port
         async with httpcore.AsyncHTTPConnection(
             httpcore.Origin(b"http", address.encode(), port)
@@ -181,7 +181,7 @@
                 headers=[
                     (b"host", address.encode()),
                     (DEPTH_HEADER, str(depth).encode()),
-                    (OWN_DIALECT.deadline, deadline_ms),
+                    (DEFAULT_DIALECT.deadline, deadline_ms),
                 ],
             )
         return response.status
--- a/tests/support/documents.py
+++ b/tests/support/documents.py
@@ -9,7 +9,7 @@
 import msgspec
 import trio
 
-from marigoldchute.routing.http_server import HttpEdge
+from marigoldchute.routing.http_server import HttpServer
 
 if TYPE_CHECKING:
     from marigoldchute.routing.http_request import HttpRequest, HttpResponder
@@ -73,7 +73,7 @@
         self._events: list[tuple[int, str, bool, dict[str, Any]]] = []
         self._revision = 1
         self._compacted_revision = 0
-        self._edge = HttpEdge(self._handle)
+        self._edge = HttpServer(self._handle)
 
     async def serve(
         self,
--- a/tests/support/hosted.py
+++ b/tests/support/hosted.py
@@ -15,7 +15,7 @@
 import httpcore
 import trio
 
-from marigoldchute.routing.http_server import HttpEdge
+from marigoldchute.routing.http_server import HttpServer
 from marigoldchute.standins.loopback import LoopbackBlock
 from tests.support.documents import DocumentStandIn
 
@@ -46,7 +46,7 @@
         self.acknowledged = 0
         self.seen: list[dict[str, str]] = []
         self.run_s = 0.02
-        self._edge = HttpEdge(self._handle)
+        self._edge = HttpServer(self._handle)
 
     async def run(self, task_status: Any = trio.TASK_STATUS_IGNORED) -> None:
         async with trio.open_nursery() as nursery:
--- a/tests/test_orders/test_outcomes.py
+++ b/tests/test_orders/test_outcomes.py
@@ -84,7 +84,7 @@
 
     def serve_request(self, share: float, behaviour) -> None:  # type: ignore[no-untyped-def]
         route = self.rng.choice(self.routes)
-        self.route_mix.add_request("turnos", route)
+        self.route_mix.record_request("turnos", route)
         new = self.rng.random() < self.route_mix.share("turnos", route, share)
         self.new_release_requests += new
         latency_ms = self.rng.lognormvariate(4.8, 0.8)
--- a/tests/test_platform/test_shapes.py
+++ b/tests/test_platform/test_shapes.py
@@ -8,7 +8,7 @@
 from marigoldchute.hosted.reader import ReaderDuty
 from marigoldchute.platform.settings import parse_settings
 from marigoldchute.routing.candidates import Candidates
-from marigoldchute.routing.choice import Wish
+from marigoldchute.routing.choice import PickInfo
 from marigoldchute.routing.least_time import LeastExpectedTime
 from tests.test_hosted.test_reader import FakeDirectory
 from tests.test_platform.test_adapter import make_settings
@@ -44,11 +44,11 @@
     def test_only_backend_server_of_a_service_is_chosen_despite_failures(self) -> None:
         target = make_target("only")
         chooser = LeastExpectedTime(random.Random(1))
-        candidates = Candidates(centre=(target,))
+        candidates = Candidates(data_centre=(target,))
         for _ in range(50):
-            target.take_answer(10.0, True)
-            chooser.take_failure(target, candidates, 1.0)
-        chosen = chooser.choose(candidates, set(), 1.0, NOW_MS, Wish("r", 0.5))
+            target.record_response(10.0, True)
+            chooser.record_failure(target, candidates, 1.0)
+        chosen = chooser.choose(candidates, set(), 1.0, NOW_MS, PickInfo("r", 0.5))
         self.assertIs(chosen, target)
 
     def test_backend_server_of_a_remote_region_is_chosen_when_it_is_the_only_one(
@@ -57,5 +57,5 @@
         target = make_target("far", "limon")
         chooser = LeastExpectedTime(random.Random(1))
         candidates = Candidates(remote=(target,))
-        chosen = chooser.choose(candidates, set(), 1.0, NOW_MS, Wish("r", 0.1))
+        chosen = chooser.choose(candidates, set(), 1.0, NOW_MS, PickInfo("r", 0.1))
         self.assertIs(chosen, target)
--- a/tests/test_routing/test_choice.py
+++ b/tests/test_routing/test_choice.py
@@ -89,23 +89,23 @@
     def test_loaded_server_gets_fewer_requests(self) -> None:
         targets = tuple(make_target(f"t{i}") for i in range(4))
         targets[0].in_flight = 8
-        counts = count_choices(make_chooser(), Candidates(centre=targets))
+        counts = count_choices(make_chooser(), Candidates(data_centre=targets))
         self.assertLess(counts["t0"], 120)
 
     def test_slow_server_gets_fewer_requests(self) -> None:
         targets = tuple(make_target(f"t{i}") for i in range(4))
         for target in targets:
-            target.take_answer(2.0, False)
+            target.record_response(2.0, False)
         for _ in range(50):
-            targets[0].take_answer(40.0, False)
-        counts = count_choices(make_chooser(), Candidates(centre=targets))
+            targets[0].record_response(40.0, False)
+        counts = count_choices(make_chooser(), Candidates(data_centre=targets))
         self.assertLess(counts["t0"], 120)
 
     def test_busy_server_is_skipped_until_backoff_ends(self) -> None:
         targets = (make_target("a"), make_target("b"))
         targets[0].back_off(0.0)
         chooser = make_chooser()
-        candidates = Candidates(centre=targets)
+        candidates = Candidates(data_centre=targets)
         chosen = {chooser.choose(candidates, set(), 0.1, NOW_MS) for _ in range(50)}
         self.assertEqual(chosen, {targets[1]})
         chosen = {chooser.choose(candidates, set(), 0.5, NOW_MS) for _ in range(50)}
@@ -118,7 +118,7 @@
         targets = (cold, *(make_target(f"t{i}") for i in range(3)))
         for target in targets[1:]:
             target.in_flight = 3
-        counts = count_choices(make_chooser(), Candidates(centre=targets))
+        counts = count_choices(make_chooser(), Candidates(data_centre=targets))
         self.assertLess(counts["cold"], 120)
 
     def test_weight_rises_after_the_cold_start(self) -> None:
@@ -128,7 +128,7 @@
 
     def test_only_server_is_chosen_although_cold(self) -> None:
         cold = make_target("cold", warm_at_ms=NOW_MS + 3000)
-        counts = count_choices(make_chooser(), Candidates(centre=(cold,)), 5)
+        counts = count_choices(make_chooser(), Candidates(data_centre=(cold,)), 5)
         self.assertEqual(counts, {"cold": 5})
 
 
@@ -136,11 +136,11 @@
     def test_at_most_half_of_failing_servers_are_ejected(self) -> None:
         targets = tuple(make_target(f"t{i}") for i in range(4))
         chooser = make_chooser()
-        candidates = Candidates(centre=targets)
+        candidates = Candidates(data_centre=targets)
         for target in targets:
             for _ in range(3):
                 target.record_failure()
-            chooser.take_failure(target, candidates, 0.0)
+            chooser.record_failure(target, candidates, 0.0)
         ejected = [target for target in targets if not target.available(0.5)]
         self.assertEqual(len(ejected), 2)
 
@@ -148,7 +148,7 @@
         target = make_target("t")
         for _ in range(10):
             target.record_failure()
-        make_chooser().take_failure(target, Candidates(centre=(target,)), 0.0)
+        make_chooser().record_failure(target, Candidates(data_centre=(target,)), 0.0)
         self.assertTrue(target.available(0.0))
 
     def test_ejection_time_doubles_and_ends(self) -> None:
@@ -162,7 +162,7 @@
     def test_ejected_server_is_chosen_when_it_is_the_only_one(self) -> None:
         target = make_target("t")
         target.eject(0.0)
-        candidates = Candidates(centre=(target,))
+        candidates = Candidates(data_centre=(target,))
         self.assertIs(make_chooser().choose(candidates, set(), 0.1, NOW_MS), target)
 
 
@@ -228,12 +228,12 @@
         self.assertEqual(len(self.tables.find("s0", "r2", 0.01).own), 1)
 
     def test_statistics_are_kept_over_rebuild_but_not_over_restart(self) -> None:
-        target = self.tables.find("s0", "r1", 0.0).centre[0]
+        target = self.tables.find("s0", "r1", 0.0).data_centre[0]
         self.tables.mark_stale()
-        self.assertIs(self.tables.find("s0", "r1", 1.0).centre[0], target)
+        self.assertIs(self.tables.find("s0", "r1", 1.0).data_centre[0], target)
         old = self.members.members[0]
         self.members.members[0] = Member(
             old.name, 2, 1, "127.0.0.1", 1, "dc0", "region0", servers=old.servers
         )
         self.tables.mark_stale()
-        self.assertIsNot(self.tables.find("s0", "r1", 2.0).centre[0], target)
+        self.assertIsNot(self.tables.find("s0", "r1", 2.0).data_centre[0], target)
--- a/tests/test_routing/test_dialect.py
+++ b/tests/test_routing/test_dialect.py
@@ -9,7 +9,7 @@
 
 from marigoldchute.errors import NotRunError, RequestError, ResultCode
 from marigoldchute.routing.backend_response import BackendResponse
-from marigoldchute.routing.dialect import OWN_DIALECT
+from marigoldchute.routing.dialect import DEFAULT_DIALECT
 from marigoldchute.routing.messages import RequestHead
 from marigoldchute.routing.owner import Owner
 from marigoldchute.routing.policy import PathPolicy
@@ -17,16 +17,18 @@
 from tests.test_routing.test_owner import CollectingExchange, FakeServers, make_head
 
 DIALECT = dataclasses.replace(
-    OWN_DIALECT,
+    DEFAULT_DIALECT,
     request_id=b"x-id",
-    echoes_id=True,
+    echoes_request_id=True,
     expected_server=b"x-server",
     caller_service=b"x-caller",
-    keeps_given_id=True,
+    forwards_given_id=True,
     accepts_unframed=True,
     misdirected_status=421,
 )
-POLICY = PathPolicy(adaptive_limit=False, gather_bytes=65_536, retry_errors=True)
+POLICY = PathPolicy(
+    adaptive_limit=False, max_buffered_response_bytes=65_536, retry_errors=True
+)
 
 
 def encode_response(request_id: bytes, body: bytes, status: bytes = b"200 OK") -> bytes:
@@ -171,7 +173,7 @@
             await stream.receive_some(65_536)
 
         class SlowUpload(CollectingExchange):
-            def take_whole_body(self) -> bytes | None:
+            def pop_complete_body(self) -> bytes | None:
                 return None
 
             async def receive(self) -> bytes | None:
--- a/tests/test_routing/test_entry.py
+++ b/tests/test_routing/test_entry.py
@@ -23,7 +23,7 @@
     async def receive_head(self) -> bytes:
         return self._head
 
-    def take_whole(self) -> bytes | None:
+    def pop_complete_data(self) -> bytes | None:
         return b"".join(self._chunks) if self._whole else None
 
     async def receive(self) -> bytes | None:
@@ -36,13 +36,13 @@
         self.body = b""
         self.finished = False
 
-    async def send_whole(
+    async def send_complete(
         self, status: int, block: bytes, has_length: bool, body: bytes
     ) -> None:
         self.body += body
         self.finished = True
 
-    async def start_block(
+    async def start_encoded(
         self, status: int, block: bytes, has_length: bool, body: bytes
     ) -> None:
         self.body += body
--- a/tests/test_routing/test_http_edge.py
+++ b/tests/test_routing/test_http_edge.py
@@ -11,7 +11,7 @@
 import trio
 
 from marigoldchute.routing import http_server
-from marigoldchute.routing.http_server import HttpEdge
+from marigoldchute.routing.http_server import HttpServer
 from marigoldchute.standins.loopback import LoopbackBlock
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
     def run_edge(self, body: Callable[[str], Awaitable[None]]) -> None:
         block = LoopbackBlock()
         address = f"127.{block.number}.1.1"
-        self.edge = HttpEdge(self.handler)
+        self.edge = HttpServer(self.handler)
 
         async def main() -> None:
             with trio.fail_after(10):
@@ -267,7 +267,7 @@
 
         async def hang(req: HttpRequest, responder: HttpResponder) -> None:
             with trio.CancelScope() as scope:
-                req.scope = scope
+                req.cancel_scope = scope
                 await trio.sleep_forever()
             cancelled.set()
 
--- a/tests/test_routing/test_least_time.py
+++ b/tests/test_routing/test_least_time.py
@@ -8,11 +8,11 @@
 
 from marigoldchute.routing.budget import WindowRetryBudget
 from marigoldchute.routing.candidates import Candidates
-from marigoldchute.routing.choice import Wish
+from marigoldchute.routing.choice import PickInfo
 from marigoldchute.routing.least_time import LeastExpectedTime
 from tests.test_routing.test_choice import NOW_MS, make_target
 
-PICK_INFO = Wish("r", 0.6)
+PICK_INFO = PickInfo("r", 0.6)
 
 
 def choose(chooser: LeastExpectedTime, candidates: Candidates, now: float = 0.0) -> str:
@@ -91,13 +91,13 @@
 
     def setUp(self) -> None:
         self.targets = tuple(make_target(f"t{i}") for i in range(4))
-        self.candidates = Candidates(centre=self.targets)
+        self.candidates = Candidates(data_centre=self.targets)
         self.chooser = LeastExpectedTime(random.Random(1))
 
     def send_half_failing(self, target, times: int) -> None:  # type: ignore[no-untyped-def]
         for index in range(times):
-            target.take_answer(10.0, index % 2 == 0)
-            self.chooser.take_failure(target, self.candidates, 1.0)
+            target.record_response(10.0, index % 2 == 0)
+            self.chooser.record_failure(target, self.candidates, 1.0)
 
     def test_faulty_server_is_ejected_and_others_are_not(self) -> None:
         self.send_half_failing(self.targets[0], 20)
--- a/tests/test_routing/test_owner.py
+++ b/tests/test_routing/test_owner.py
@@ -40,13 +40,13 @@
         self.body = b""
         self.finished = False
 
-    def take_whole_body(self) -> bytes | None:
+    def pop_complete_body(self) -> bytes | None:
         return b""
 
     async def receive(self) -> bytes | None:
         return None
 
-    async def send_whole(self, head: ResponseHead, body: bytes) -> None:
+    async def send_complete(self, head: ResponseHead, body: bytes) -> None:
         await self.send_head(head, body)
         self.finished = True
 
@@ -274,12 +274,12 @@
             await owner.execute(make_head(), CollectingExchange())
             self.assertEqual(connections, 2)
 
-        limit_s = backend_conn.IDLE_REUSE_NON_IDEMPOTENT_S
-        backend_conn.IDLE_REUSE_NON_IDEMPOTENT_S = 0.03
+        limit_s = backend_conn.MAX_IDLE_NON_IDEMPOTENT_S
+        backend_conn.MAX_IDLE_NON_IDEMPOTENT_S = 0.03
         try:
             self.run_owner(serve, body)
         finally:
-            backend_conn.IDLE_REUSE_NON_IDEMPOTENT_S = limit_s
+            backend_conn.MAX_IDLE_NON_IDEMPOTENT_S = limit_s
 
 
 class FakeStream:
--- a/tests/test_routing/test_request_log.py
+++ b/tests/test_routing/test_request_log.py
@@ -20,14 +20,14 @@
 ATTEMPT = "limon-patio-2 i-1 ok code=0 ms=312 load=3.0/12"
 
 
-def make_call(request_id: str, tries: int = 1) -> Call:
+def make_call(request_id: str, attempts: int = 1) -> Call:
     """Return a call whose response has been forwarded."""
     call = types.SimpleNamespace(
         req=types.SimpleNamespace(target=b"/reservas/7"),
         request_id=request_id,
-        trail=[ATTEMPT] * tries,
-        tries=tries,
-        entry=types.SimpleNamespace(route=types.SimpleNamespace(name="reservas")),
+        attempt_log=[ATTEMPT] * attempts,
+        attempts=attempts,
+        route_entry=types.SimpleNamespace(route=types.SimpleNamespace(name="reservas")),
         service=types.SimpleNamespace(name="reservas"),
         release="r1",
         bundle_version=4,
@@ -49,7 +49,7 @@
 
     def test_server_error_is_logged_with_its_backend_server(self) -> None:
         for status in (500, 504):
-            self.log.emit_answered(make_call(f"id-{status}"), status, 1.0)
+            self.log.emit_response(make_call(f"id-{status}"), status, 1.0)
         logged_fields = self.logged_fields("backend_failed")
         self.assertEqual([f["request"] for f in logged_fields], ["id-500", "id-504"])
         self.assertEqual([f["status"] for f in logged_fields], [500, 504])
@@ -57,24 +57,24 @@
 
     def test_successful_requests_are_sampled(self) -> None:
         for index in range(3 * SAMPLE_EVERY):
-            self.log.emit_answered(make_call(f"id-{index}"), 200, 1.0)
+            self.log.emit_response(make_call(f"id-{index}"), 200, 1.0)
         self.assertEqual(len(self.logged_fields("sampled")), 3)
         self.assertEqual(len(self.sink.events), 3)
 
     def test_client_error_is_not_logged_as_a_failure(self) -> None:
-        self.log.emit_answered(make_call("id-1"), 404, 1.0)
+        self.log.emit_response(make_call("id-1"), 404, 1.0)
         self.assertEqual(self.sink.events, [])
 
     def test_30_failures_per_second_are_all_logged_for_ten_seconds(self) -> None:
         for index in range(300):
             call = make_call(f"id-{index}")
-            self.log.emit_answered(call, 500, index / 30)
+            self.log.emit_response(call, 500, index / 30)
         self.assertEqual(len(self.logged_fields("backend_failed")), 300)
 
     def test_failures_above_the_burst_are_dropped_and_counted(self) -> None:
         count = int(FAILED_BURST_LINES) + 100
         for index in range(count):
-            self.log.emit_answered(make_call(f"id-{index}"), 500, 1.0)
+            self.log.emit_response(make_call(f"id-{index}"), 500, 1.0)
         self.assertEqual(len(self.logged_fields("backend_failed")), FAILED_BURST_LINES)
-        self.log.emit_answered(make_call("later"), 500, 1.0 + DROPPED_REPORT_INTERVAL_S)
+        self.log.emit_response(make_call("later"), 500, 1.0 + DROPPED_REPORT_INTERVAL_S)
         self.assertEqual(self.logged_fields("left_out"), [{"failed": 100}])
--- a/tests/test_routing/test_route_table.py
+++ b/tests/test_routing/test_route_table.py
@@ -15,7 +15,7 @@
     Service,
 )
 from marigoldchute.routing.budget import RetryBudget, TokenBucket
-from marigoldchute.routing.headers import parse_deadline_ms, request_block
+from marigoldchute.routing.headers import encode_request_headers, parse_deadline_ms
 from marigoldchute.routing.route_table import RouteTable
 from marigoldchute.routing.sticky import sticky_point
 
@@ -91,7 +91,7 @@
 
 class HeaderTest(unittest.TestCase):
     def test_hop_by_hop_headers_are_removed(self) -> None:
-        block = request_block(
+        block = encode_request_headers(
             [
                 (b"host", b"a"),
                 (b"connection", b"close, X-Hop, content-length"),
--- a/tests/test_routing/test_tries.py
+++ b/tests/test_routing/test_tries.py
@@ -24,7 +24,7 @@
 from marigoldchute.moves.model import Split
 from marigoldchute.routing.entry import Entry
 from marigoldchute.routing.first_bundle import FirstBundleWait
-from marigoldchute.routing.http_request import CallerGoneError, HttpRequest
+from marigoldchute.routing.http_request import CallerDisconnectedError, HttpRequest
 from marigoldchute.routing.least_time import LeastExpectedTime
 from marigoldchute.routing.messages import ResponseHead
 from marigoldchute.routing.policy import PathPolicy
@@ -79,7 +79,7 @@
         self.finished = False
         self.keep_alive = True
 
-    async def send_whole(
+    async def send_complete(
         self, status: int, block: bytes, has_length: bool, body: bytes
     ) -> None:
         self.statuses.append(status)
@@ -103,7 +103,7 @@
         result = self.script.pop(0)
         if isinstance(result, Exception):
             raise result
-        await exchange.send_whole(ResponseHead(result, b"", True), BODY)
+        await exchange.send_complete(ResponseHead(result, b"", True), BODY)
 
 
 class FakeRetryBudget:
@@ -273,9 +273,9 @@
 
     def test_requests_of_part_without_servers_are_refused(self) -> None:
         self.send_with_script(200)
-        self.entry.tables._members = FakeMembers({"turnos": 2})  # type: ignore[assignment]
-        self.entry.tables.mark_stale()
-        self.entry.tables._rebuild(0.0)
+        self.entry.candidate_tables._members = FakeMembers({"turnos": 2})  # type: ignore[assignment]
+        self.entry.candidate_tables.mark_stale()
+        self.entry.candidate_tables._rebuild(0.0)
         self.owner.script = [200] * 100
         self.owner.servers.clear()
         statuses = [self.send(b"/p/1").statuses[0] for _ in range(40)]
@@ -288,7 +288,7 @@
 
         class SlowOwner(FakeOwner):
             async def execute(self, head: RequestHead, exchange: Call) -> None:
-                await trio.sleep(0.9 * exchange.entry.route.timeout_ms / 1000)
+                await trio.sleep(0.9 * exchange.route_entry.route.timeout_ms / 1000)
                 await super().execute(head, exchange)
 
         self.send_with_script(200)
@@ -358,7 +358,7 @@
             req = HttpRequest(None)  # type: ignore[arg-type]
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._close_caller, req)
-                with self.assertRaises(CallerGoneError):
+                with self.assertRaises(CallerDisconnectedError):
                     await wait.wait(req, trio.current_time())
                 self.assertAlmostEqual(trio.current_time() - started, 0.1)
 
@@ -368,6 +368,6 @@
 
     async def _close_caller(self, req: HttpRequest) -> None:
         await trio.sleep(0.1)
-        req.caller_gone = True
-        assert req.scope is not None
-        req.scope.cancel()
+        req.caller_disconnected = True
+        assert req.cancel_scope is not None
+        req.cancel_scope.cancel()
