--- a/bench/bench_scale.py
+++ b/bench/bench_scale.py
@@ -118,7 +118,7 @@
         _time_ms(lambda: wanted_peers(local, membership.all())),
         _time_ms(lambda: rendezvous_order(membership.all(), "driver")),
         _time_ms(lambda: membership.duties.holder("driver")),
-        _time_ms(membership.wanted),
+        _time_ms(membership.wanted_peers),
         len(wanted_peers(local, membership.all())),
         len(records[1].body),
         round(state_kb, 1),
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -25,13 +25,13 @@
     started = time.monotonic()
     failure = ""
     try:
-        soak.play(LIMIT_S)
+        soak.run(LIMIT_S)
     except* (trio.TooSlowError, OSError) as group:
         failure = repr(group.exceptions)
-    statuses = collections.Counter(item.status for item in soak.told)
+    statuses = collections.Counter(item.status for item in soak.results)
     return {
         "seed": seed,
-        "lies": soak.lies,
+        "lies": soak.violations,
         "failure": failure,
         "statuses": dict(sorted(statuses.items())),
         "took_s": round(time.monotonic() - started, 1),
--- a/marigoldchute/hosted/config_topic.py
+++ b/marigoldchute/hosted/config_topic.py
@@ -54,11 +54,11 @@
         self._catalog = catalog
         self._log = log
 
-    def known_revision(self) -> int:
+    def applied_revision(self) -> int:
         """Return the revision of the bundle in force."""
         return self._catalog.revision
 
-    def take_page(self, page: DocumentPage, whole: bool) -> None:
+    def apply_page(self, page: DocumentPage, whole: bool) -> None:
         """Apply the newest valid bundle of a page."""
         documents = [
             document
--- a/marigoldchute/hosted/directory.py
+++ b/marigoldchute/hosted/directory.py
@@ -54,7 +54,7 @@
         self._unreachable: set[str] = set()
         self._cached_view: tuple[Member, ...] | None = None
         self._leaving = False
-        self.on_view: list[Callable[[], None]] = []
+        self.on_view_changed: list[Callable[[], None]] = []
         table.subscribe(RecordKind.MEMBER, self._handle_record)
         self._publish_local()
 
@@ -118,7 +118,7 @@
         gone = sum(m.state is MemberState.GONE for m in self._members.values())
         return len(self._members) - gone <= MAX_FULL_MESH_MEMBERS
 
-    def wanted(self) -> dict[str, tuple[str, int]]:
+    def wanted_peers(self) -> dict[str, tuple[str, int]]:
         """Return the address and port of each peer to keep a link to."""
         known = [m for m in self._members.values() if m.state is not MemberState.GONE]
         targets = {m.name: (m.address, m.peer_port) for m in known}
@@ -138,7 +138,7 @@
         """Return addresses to try while no peer is linked."""
         return list(self._discovered.values())
 
-    def take_strangers(self) -> list[tuple[str, int]]:
+    def pop_one_time_addresses(self) -> list[tuple[str, int]]:
         """Return no addresses; those from the store are dialled until a link is up."""
         return []
 
@@ -157,7 +157,7 @@
         The end of an unwanted link does not mean that the peer is lost: peers close
         links that they do not need.
         """
-        if name in self._unreachable or name not in self.wanted():
+        if name in self._unreachable or name not in self.wanted_peers():
             return
         if name in self._members:
             self._unreachable.add(name)
@@ -222,5 +222,5 @@
 
     def _notify_view_changed(self) -> None:
         self._cached_view = None
-        for listener in self.on_view:
+        for listener in self.on_view_changed:
             listener()
--- a/marigoldchute/hosted/node.py
+++ b/marigoldchute/hosted/node.py
@@ -223,7 +223,7 @@
         self._control_edge = HttpServer(control, self._log_failure)
         self._readiness_edge = HttpServer(readiness, self._log_failure)
         self._in_force.on_swap(self._apply_bundle)
-        self.directory.on_view += [
+        self.directory.on_view_changed += [
             self.entry.candidate_tables.mark_stale,
             self._order_book.refresh,
         ]
--- a/marigoldchute/hosted/reader.py
+++ b/marigoldchute/hosted/reader.py
@@ -66,10 +66,10 @@
     def kind(self) -> str:
         """Kind of the documents."""
 
-    def known_revision(self) -> int:
+    def applied_revision(self) -> int:
         """Return the revision up to which all changes are applied, 0 for none."""
 
-    def take_page(self, page: DocumentPage, whole: bool) -> None:
+    def apply_page(self, page: DocumentPage, whole: bool) -> None:
         """Apply changes, or all documents when ``whole``.
 
         An invalid document is logged and leaves the previous state unchanged.
@@ -130,7 +130,7 @@
             n for n, at in self._last_beacon_at.items() if now - at <= BEACON_TIMEOUT_S
         ]
 
-    def deciders(self, now: float) -> list[str]:
+    def leader_candidates(self, now: float) -> list[str]:
         """Return the names of the other members that may be the leader.
 
         These are the members with a recent beacon or, when there are none, the first
@@ -142,7 +142,7 @@
         first = [member.name for member in self._ordered()[:NUM_READERS]]
         return [name for name in first if name != self.directory.local.name]
 
-    def leads(self, reads: bool, now: float) -> bool:
+    def is_leader(self, reads: bool, now: float) -> bool:
         """Return whether this node is the leader, which decides for all readers.
 
         The leader is the first member of the order that reads the store. While no
@@ -151,7 +151,7 @@
 
         Parameters
         ----------
-        reads : bool
+        is_reading : bool
             Whether this node reads successfully.
         now : float
             Monotonic time in seconds.
@@ -223,7 +223,7 @@
         self.on_read: list[Callable[[], None]] = []
         handlers.register(Method.READER_BEACON, self._handle_beacon)
 
-    def reads(self, now: float) -> bool:
+    def is_reading(self, now: float) -> bool:
         """Return whether every topic was recently read successfully."""
         oldest = now - WATCH_TIMEOUT_MS / 1000 - BEACON_INTERVAL_S
         return len(self._last_read_at) == len(self._topics) and all(
@@ -246,7 +246,7 @@
                 await trio.sleep(DUTY_POLL_INTERVAL_S)
                 continue
             if position is None:
-                position = topic.known_revision()
+                position = topic.applied_revision()
             try:
                 position = await self._read_once(topic, position)
                 self._last_read_at[topic.kind] = trio.current_time()
@@ -261,10 +261,10 @@
         """Read all documents when ``position`` is 0, else the changes since then."""
         if not position:
             page = await self._store.list(topic.kind)
-            topic.take_page(page, True)
+            topic.apply_page(page, True)
             return page.revision
         page = await self._store.changes(topic.kind, position, WATCH_TIMEOUT_MS)
-        topic.take_page(page, False)
+        topic.apply_page(page, False)
         return max(position, page.revision)
 
     def _log_failure(self, topic: Topic, exc: PlatformError) -> None:
@@ -280,7 +280,7 @@
         while True:
             await trio.sleep(BEACON_INTERVAL_S)
             now = trio.current_time()
-            reads = self._duty.is_reader(now) and self.reads(now)
+            reads = self._duty.is_reader(now) and self.is_reading(now)
             if reads != self._was_reading:
                 self._was_reading = reads
                 event, text = ("duty_taken", "reads the store for the mesh")
--- a/marigoldchute/hosted/registry.py
+++ b/marigoldchute/hosted/registry.py
@@ -113,7 +113,7 @@
         """Whether a backend server is published for this VM."""
         return bool(self._published)
 
-    def take_report(self, report: StateReport, now: float, now_ms: int) -> None:
+    def handle_report(self, report: StateReport, now: float, now_ms: int) -> None:
         """Apply a report unless it is stale.
 
         Parameters
@@ -156,7 +156,7 @@
         if not same_incarnation:
             self._replicate_server()
 
-    def take_leave(self, instance: str, now_ms: int) -> None:
+    def handle_deregistration(self, instance: str, now_ms: int) -> None:
         """Handle the leave of a backend server that has not drained before.
 
         After a restart of the node it may arrive before the record of the server. The
--- a/marigoldchute/membership/probe.py
+++ b/marigoldchute/membership/probe.py
@@ -107,7 +107,7 @@
             outcomes = await self._collect_outcomes(member, helpers)
             if (
                 ProbeOutcome.REACHED in outcomes
-                and name not in self._membership.wanted()
+                and name not in self._membership.wanted_peers()
             ):
                 # The link was closed because neither end needs it.
                 self._membership.lost_peers.remove(name)
--- a/marigoldchute/membership/service.py
+++ b/marigoldchute/membership/service.py
@@ -71,7 +71,7 @@
             cfg.name, cfg.data_centre, boottime_clock(), self.contact_timeouts
         )
         self.on_incarnation: list[Callable[[int], None]] = []
-        self.on_view: list[Callable[[], None]] = []
+        self.on_view_changed: list[Callable[[], None]] = []
         self._local = Member(
             name=cfg.name,
             incarnation=incarnation,
@@ -165,7 +165,7 @@
             )
         self._unreachable_data_centres = data_centres
         self._generation += 1
-        for listener in self.on_view:
+        for listener in self.on_view_changed:
             listener()
 
     def address_of(self, name: str) -> tuple[str, int] | None:
@@ -234,7 +234,7 @@
                 del self._members[name]
                 self._table.discard(RecordKind.MEMBER, name)
 
-    def wanted(self) -> dict[str, tuple[str, int]]:
+    def wanted_peers(self) -> dict[str, tuple[str, int]]:
         """Return the address and port of each peer to keep a link to.
 
         Unreachable members that would be linked if they were alive are included, so
@@ -271,7 +271,7 @@
         """Add an address from the store to dial once, as no member record names it."""
         self._one_time_addresses.append((address, port))
 
-    def take_strangers(self) -> list[tuple[str, int]]:
+    def pop_one_time_addresses(self) -> list[tuple[str, int]]:
         """Return and clear the addresses to dial once, even if peers are linked."""
         addresses, self._one_time_addresses = self._one_time_addresses, []
         return addresses
--- a/marigoldchute/orders/driver.py
+++ b/marigoldchute/orders/driver.py
@@ -132,11 +132,11 @@
         book.on_change.append(self._on_state_change)
         handlers.register(Method.REPORT_OUTCOMES, self._on_report)
 
-    def known_revision(self) -> int:
+    def applied_revision(self) -> int:
         """Return 0, as a reader that starts needs the revision of each document."""
         return 0
 
-    def take_page(self, page: DocumentPage, whole: bool) -> None:
+    def apply_page(self, page: DocumentPage, whole: bool) -> None:
         """Apply documents from the store."""
         for document in page.documents:
             if document.deleted:
@@ -208,7 +208,7 @@
         evidence = self._evidence_for(state)
         evidence.apply_report(self._local_report(state.order_id), now_ms)
         assert self.reader is not None
-        if not self._duty.leads(self.reader.reads(now), now):
+        if not self._duty.is_leader(self.reader.is_reading(now), now):
             return
         fault = evidence.fault_reason()
         if fault and not self._book.is_faulty(state):
@@ -336,23 +336,23 @@
 
     async def _report_outcomes(self) -> None:
         """Send this node's response counts to the nodes that may decide on an order."""
-        previous_deciders: set[str] = set()
+        previous_candidates: set[str] = set()
         while True:
             await trio.sleep(self._report_interval_s())
             changed = set(self._counter.changed_order_ids)
             self._counter.changed_order_ids.clear()
-            deciders = self._duty.deciders(trio.current_time())
-            # A node that has just become a decider needs the earlier counts as well.
+            candidates = self._duty.leader_candidates(trio.current_time())
+            # A node that has just become a candidate needs the earlier counts as well.
             open_ids = {
                 state.order_id for state in self._book.states() if state.is_open
             }
-            for name in deciders:
+            for name in candidates:
                 for order_id in (
-                    changed if name in previous_deciders else changed | open_ids
+                    changed if name in previous_candidates else changed | open_ids
                 ):
                     body = msgspec.msgpack.encode(self._local_report(order_id))
                     await self._send_report(name, body)
-            previous_deciders = set(deciders)
+            previous_candidates = set(candidates)
 
     def _report_interval_s(self) -> float:
         fast = any(
--- a/marigoldchute/overlay/overlay.py
+++ b/marigoldchute/overlay/overlay.py
@@ -35,13 +35,13 @@
 class PeerDirectory(Protocol):
     """Source of the peers to connect to and receiver of the state of links."""
 
-    def wanted(self) -> dict[str, tuple[str, int]]:
+    def wanted_peers(self) -> dict[str, tuple[str, int]]:
         """Return the address and port of each peer to keep a link to."""
 
     def seeds(self) -> list[tuple[str, int]]:
         """Return addresses to try while no peer is linked."""
 
-    def take_strangers(self) -> list[tuple[str, int]]:
+    def pop_one_time_addresses(self) -> list[tuple[str, int]]:
         """Return addresses to dial once, regardless of existing links."""
 
     def link_lost(self, name: str, refused: bool, now: float) -> None:
@@ -129,7 +129,7 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             while True:
-                wanted = directory.wanted()
+                wanted = directory.wanted_peers()
                 self._dial_missing(wanted, directory)
                 self._close_unwanted(wanted)
                 await trio.sleep(MAINTENANCE_INTERVAL_S * self._rng.uniform(0.5, 1.5))
@@ -140,7 +140,7 @@
         targets = dict(wanted)
         if not self._neighbours:
             targets |= {f"{a}:{p}": (a, p) for a, p in directory.seeds()}
-        targets |= {f"{a}:{p}": (a, p) for a, p in directory.take_strangers()}
+        targets |= {f"{a}:{p}": (a, p) for a, p in directory.pop_one_time_addresses()}
         assert self._nursery is not None
         for name, (address, port) in targets.items():
             if self.is_linked(name) or name in self._dialling:
--- a/marigoldchute/platform/control.py
+++ b/marigoldchute/platform/control.py
@@ -99,7 +99,7 @@
         if operation == "heartbeat":
             error = self._apply_report(instance, body)
         elif operation == "deregister":
-            self._registry.take_leave(instance, self._clock.now_ms())
+            self._registry.handle_deregistration(instance, self._clock.now_ms())
             error = ""
         else:
             await _send_response(responder, 404, "unknown path or operation")
@@ -134,7 +134,7 @@
             int(status.warmup_left_ms),
         )
         now = trio.current_time()
-        self._registry.take_report(report, now, self._clock.now_ms())
+        self._registry.handle_report(report, now, self._clock.now_ms())
         return ""
 
 
--- a/marigoldchute/routing/path.py
+++ b/marigoldchute/routing/path.py
@@ -94,7 +94,7 @@
         )
         self._caller_edge = HttpServer(self.entry.handle_external, self._log_failure)
         self._internal_edge = HttpServer(self._handle_internal, self._log_failure)
-        membership.on_view.append(self.entry.candidate_tables.mark_stale)
+        membership.on_view_changed.append(self.entry.candidate_tables.mark_stale)
         table.subscribe(
             RecordKind.MEMBER, lambda record: self.entry.candidate_tables.mark_stale()
         )
--- a/tests/support/hosted.py
+++ b/tests/support/hosted.py
@@ -43,9 +43,9 @@
         self.state = "ready"
         self.born = int(time.time() * 1000)
         self.sequence = 0
-        self.acknowledged = 0
-        self.seen: list[dict[str, str]] = []
-        self.run_s = 0.02
+        self.acknowledged_sequence = 0
+        self.requests: list[dict[str, str]] = []
+        self.service_time_s = 0.02
         self._edge = HttpServer(self._handle)
 
     async def run(self, task_status: Any = trio.TASK_STATUS_IGNORED) -> None:
@@ -80,7 +80,7 @@
                         "POST", f"{url}/heartbeat", content=json.dumps(value).encode()
                     )
                     if response.status == 200 and state == self.state:
-                        self.acknowledged = sequence
+                        self.acknowledged_sequence = sequence
                 await trio.sleep(REPORT_INTERVAL_MS / 1000)
 
     async def _handle(self, req: HttpRequest, responder: HttpResponder) -> None:
@@ -88,8 +88,8 @@
         while (data := await req.receive()) is not None:
             body += data
         headers = {k.decode(): v.decode() for k, v in req.headers}
-        self.seen.append(headers | {"path": req.target.decode()})
-        await trio.sleep(self.run_s)
+        self.requests.append(headers | {"path": req.target.decode()})
+        await trio.sleep(self.service_time_s)
         text = f"{self.name} {len(body)}".encode()
         fields = [
             (b"attempt-id", headers.get("attempt-id", "").encode()),
@@ -182,7 +182,7 @@
             },
         )
 
-    async def ask(
+    async def send_request(
         self,
         name: str,
         path: str = "/a/1",
@@ -212,23 +212,23 @@
             except (httpcore.ConnectError, httpcore.NetworkError):
                 return False
 
-    async def wait_served(self, *names: str) -> None:
+    async def wait_until_serving(self, *names: str) -> None:
         """Wait until the named nodes are ready and respond to a request with 200."""
         with trio.fail_after(30):
             for name in names or self.names:
                 while not await self.is_ready(name):
                     await trio.sleep(0.05)
-                while (await self.ask(name)).status != 200:
+                while (await self.send_request(name)).status != 200:
                     await trio.sleep(0.05)
 
-    async def wait_ended(self, name: str) -> int:
+    async def wait_for_exit(self, name: str) -> int:
         """Wait for a node process to exit and return its exit status."""
         with trio.fail_after(EXIT_TIMEOUT_S):
             while (status := self.processes[name].poll()) is None:
                 await trio.sleep(0.05)
         return status
 
-    def log_of(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         return (self.directory / f"{name}.log").read_text()
 
     def stop(self) -> None:
--- a/tests/support/soak.py
+++ b/tests/support/soak.py
@@ -165,11 +165,11 @@
         self._paused: set[str] = set()
         self._stopped: set[str] = set()
         self._change_count = 0
-        self.told: list[CallerResult] = []
-        self.lies: list[str] = []
+        self.results: list[CallerResult] = []
+        self.violations: list[str] = []
 
-    def play(self, timeout_s: float) -> None:
-        """Run the plan and store all violations in ``lies``.
+    def run(self, timeout_s: float) -> None:
+        """Run the plan and store all violations in ``violations``.
 
         Parameters
         ----------
@@ -191,7 +191,7 @@
 
     async def _run(self) -> None:
         async with hosted_mesh(*SERVICES) as mesh:
-            await mesh.wait_served()
+            await mesh.wait_until_serving()
             async with trio.open_nursery() as callers:
                 callers.start_soon(self._send_requests, mesh)
                 async with trio.open_nursery() as faults:
@@ -203,7 +203,9 @@
                     await self._wait_until_recovered(mesh)
                 callers.cancel_scope.cancel()
             await trio.sleep(LATE_RUN_WAIT_S)
-            self.lies = find_violations(self.told, _executions_by_request(mesh))
+            self.violations = find_violations(
+                self.results, _executions_by_request(mesh)
+            )
 
     async def _inject(self, mesh: HostedMesh, fault: Fault) -> None:
         await trio.sleep(fault.at_s)
@@ -242,7 +244,7 @@
             if name in self._paused:
                 mesh.signal_node(name, signal.SIGCONT)
         for name in claimed:
-            await mesh.wait_ended(name)
+            await mesh.wait_for_exit(name)
         await trio.sleep(duration_s)
         for name in claimed:
             mesh.start_node(name)
@@ -274,16 +276,16 @@
 
     async def _slow_down_server(self, mesh: HostedMesh, fault: Fault) -> None:
         backend = mesh.backends[fault.vm]
-        backend.run_s = 0.6
+        backend.service_time_s = 0.6
         await trio.sleep(fault.duration_s)
-        backend.run_s = 0.02
+        backend.service_time_s = 0.02
 
     async def _send_requests(self, mesh: HostedMesh) -> None:
         async with trio.open_nursery() as nursery:
             while True:
                 name = self._rng.choice(mesh.names)
                 size = self._rng.choice((0, 20, MAX_BODY_BYTES))
-                request_id = f"{self._seed}-{len(self.told)}-{self._rng.random()}"
+                request_id = f"{self._seed}-{len(self.results)}-{self._rng.random()}"
                 nursery.start_soon(self._send_request, mesh, name, request_id, size)
                 await trio.sleep(REQUEST_INTERVAL_S)
 
@@ -293,7 +295,7 @@
         result = CallerResult(request_id, size, 0)
         with trio.move_on_after(REQUEST_TIMEOUT_S):
             try:
-                response = await mesh.ask(
+                response = await mesh.send_request(
                     name, "/a/1", b"z" * size, request_id, DEADLINE_MS
                 )
             except (httpcore.NetworkError, httpcore.ProtocolError):
@@ -303,19 +305,19 @@
                 result = CallerResult(
                     request_id, size, response.status, echoed_id, response.content
                 )
-        self.told.append(result)
+        self.results.append(result)
 
     async def _wait_until_recovered(self, mesh: HostedMesh) -> None:
-        await mesh.wait_served()
+        await mesh.wait_until_serving()
         mesh.put_configuration(prefix="/last/")
         for name in mesh.names:
-            while (await mesh.ask(name, "/last/1")).status != 200:
+            while (await mesh.send_request(name, "/last/1")).status != 200:
                 await trio.sleep(0.05)
 
 
 def _executions_by_request(mesh: HostedMesh) -> dict[str, list[str]]:
     executions: dict[str, list[str]] = collections.defaultdict(list)
     for backend in mesh.backends.values():
-        for request in backend.seen:
+        for request in backend.requests:
             executions[request.get("attempt-id", "")].append(backend.name)
     return executions
--- a/tests/test_hosted/test_directory.py
+++ b/tests/test_hosted/test_directory.py
@@ -47,21 +47,21 @@
         assert member is not None
         self.assertIs(member.state, MemberState.UNREACHABLE)
         self.assertFalse(member.usable)
-        self.assertIn("vm-2", self.directory.wanted())
+        self.assertIn("vm-2", self.directory.wanted_peers())
         self.directory.link_up("vm-2", 1, 1.0)
         self.assertEqual(len(self.directory.reachable()), 2)
 
     def test_members_from_the_store_are_wanted(self) -> None:
         self.directory.add_discovered("vm-3", "10.0.0.3", 7600)
         self.directory.add_discovered("vm-1", "10.0.0.1", 7600)
-        self.assertEqual(set(self.directory.wanted()), {"vm-2", "vm-3"})
+        self.assertEqual(set(self.directory.wanted_peers()), {"vm-2", "vm-3"})
 
     def test_large_mesh_wants_fewer_links_than_members(self) -> None:
         for index in range(3, 3 * MAX_FULL_MESH_MEMBERS):
             other = RecordTable()
             make_directory(f"vm-{index}", other)
             replicate(other, self.table)
-        self.assertLess(len(self.directory.wanted()), MAX_FULL_MESH_MEMBERS)
+        self.assertLess(len(self.directory.wanted_peers()), MAX_FULL_MESH_MEMBERS)
 
 
 class LargeMeshTest(unittest.TestCase):
@@ -80,7 +80,7 @@
 
     def test_member_is_usable_after_loss_of_unwanted_link(self) -> None:
         self.add_members()
-        wanted = self.directory.wanted()
+        wanted = self.directory.wanted_peers()
         for name in self.names:
             self.directory.link_lost(name, False, 1.0)
         for name in self.names:
@@ -94,7 +94,7 @@
         self.directory.link_lost("vm-2", False, 1.0)
         self.assertFalse(self.directory.get("vm-2").usable)  # type: ignore[union-attr]
         self.add_members()
-        if "vm-2" not in self.directory.wanted():
+        if "vm-2" not in self.directory.wanted_peers():
             self.assertTrue(self.directory.get("vm-2").usable)  # type: ignore[union-attr]
 
 
--- a/tests/test_hosted/test_reader.py
+++ b/tests/test_hosted/test_reader.py
@@ -85,27 +85,27 @@
             for other in readers:
                 if other != name:
                     duties[name].record_beacon(other, 1.0)
-        self.assertEqual(sum(duties[n].leads(True, 1.1) for n in readers), 1)
+        self.assertEqual(sum(duties[n].is_leader(True, 1.1) for n in readers), 1)
         expired = 1.0 + BEACON_TIMEOUT_S + 0.1
-        self.assertTrue(all(duties[n].leads(True, expired) for n in readers))
+        self.assertTrue(all(duties[n].is_leader(True, expired) for n in readers))
 
     def test_one_member_is_leader_without_active_reader(self) -> None:
         duties = make_duties(NAMES, set(NAMES))
         for duty in duties.values():
             duty.record_beacon("vm-0", 1.0)
         expired = 1.0 + BEACON_TIMEOUT_S + 0.1
-        leaders = [n for n, duty in duties.items() if duty.leads(False, expired)]
+        leaders = [n for n, duty in duties.items() if duty.is_leader(False, expired)]
         self.assertEqual(len(leaders), 1)
         for name, duty in duties.items():
-            informed = {name, *duty.deciders(expired)}
+            informed = {name, *duty.leader_candidates(expired)}
             self.assertIn(leaders[0], informed)
 
     def test_member_reaching_a_minority_is_leader_only_while_it_reads(self) -> None:
         duties = make_duties(NAMES, set(NAMES))
         for name, duty in duties.items():
             duty.directory.lost = set(NAMES) - {name, "vm-1", "vm-2"}  # type: ignore[attr-defined]
-            self.assertFalse(duty.leads(False, 10.0))
-            self.assertTrue(duty.leads(True, 10.0))
+            self.assertFalse(duty.is_leader(False, 10.0))
+            self.assertTrue(duty.is_leader(True, 10.0))
 
     def test_repeated_or_older_beacon_is_not_newer(self) -> None:
         duty = make_duties(NAMES, set(NAMES))["vm-7"]
--- a/tests/test_hosted/test_registry.py
+++ b/tests/test_hosted/test_registry.py
@@ -40,7 +40,7 @@
 
     def apply_reports(self, *reports: StateReport, now: float = 0.0) -> None:
         for report in reports:
-            self.registry.take_report(report, now, 0)
+            self.registry.handle_report(report, now, 0)
 
     def accepting(self) -> list[str]:
         return [s.instance for s in self.servers if not s.draining]
@@ -81,9 +81,9 @@
 
     def test_leave_without_drain_stops_new_requests(self) -> None:
         self.apply_reports(make_report(1))
-        self.registry.take_leave("i-2", 0)
+        self.registry.handle_deregistration("i-2", 0)
         self.assertEqual(self.accepting(), ["i-1"])
-        self.registry.take_leave("i-1", 0)
+        self.registry.handle_deregistration("i-1", 0)
         self.assertEqual(self.accepting(), [])
 
 
@@ -91,9 +91,9 @@
     def test_restarted_node_keeps_acknowledged_drain(self) -> None:
         self.apply_reports(make_report(1), make_report(2, draining=True))
         successor = self.make_registry(self.table)
-        successor.take_report(make_report(1), 0.0, 0)
+        successor.handle_report(make_report(1), 0.0, 0)
         self.assertEqual(self.accepting(), [])
-        successor.take_report(make_report(1, born_ms=2_000), 0.0, 0)
+        successor.handle_report(make_report(1, born_ms=2_000), 0.0, 0)
         self.assertEqual(self.accepting(), ["i-1"])
 
     def test_leave_record_received_after_first_report_is_applied(self) -> None:
@@ -125,7 +125,7 @@
         published = self.servers
         successor = self.restart()
         self.assertEqual(self.accepting(), ["i-1"])
-        successor.take_report(make_report(6), 1.0, 0)
+        successor.handle_report(make_report(6), 1.0, 0)
         self.assertEqual(self.servers, published)
 
     def test_adopted_server_without_report_expires(self) -> None:
@@ -146,7 +146,7 @@
         old_table = self.table
         self.table = RecordTable()
         successor = self.make_registry(self.table)
-        successor.take_report(make_report(1, "i-2", 9_000), 0.0, 0)
+        successor.handle_report(make_report(1, "i-2", 9_000), 0.0, 0)
         for record in old_table.of_kind(RecordKind.VM_SERVER):
             self.table.offer(record, "peer")
         self.assertEqual(self.accepting(), ["i-2"])
@@ -172,7 +172,7 @@
         peer = self.table
         self.table = RecordTable()
         self.registry = self.make_registry(self.table)
-        self.registry.take_leave("i-1", 2_000)
+        self.registry.handle_deregistration("i-1", 2_000)
         for record in peer.of_kind(RecordKind.VM_SERVER):
             self.table.offer(record, "peer")
 
--- a/tests/test_membership/test_probe.py
+++ b/tests/test_membership/test_probe.py
@@ -54,7 +54,7 @@
     def recorded_members(self) -> list[Member]:
         return list(self._members.values())
 
-    def wanted(self) -> dict[str, tuple[str, int]]:
+    def wanted_peers(self) -> dict[str, tuple[str, int]]:
         return {name: ("127.0.0.1", 7000) for name in self._wanted}
 
     def publish_claim(self, member: Member, *args: object) -> None:
--- a/tests/test_membership/test_records.py
+++ b/tests/test_membership/test_records.py
@@ -110,7 +110,7 @@
         member = membership.get("b")
         assert member is not None
         self.assertIs(member.state, MemberState.UNREACHABLE)
-        self.assertIn("b", membership.wanted())
+        self.assertIn("b", membership.wanted_peers())
         membership.set_unreachable_data_centres(frozenset())
         self.assertEqual(table.digests(), digests)
 
--- a/tests/test_overlay/test_overlay.py
+++ b/tests/test_overlay/test_overlay.py
@@ -70,13 +70,13 @@
     def __init__(self, *names: str) -> None:
         self.names = set(names)
 
-    def wanted(self) -> dict[str, tuple[str, int]]:
+    def wanted_peers(self) -> dict[str, tuple[str, int]]:
         return {name: (name, 1) for name in self.names}
 
     def seeds(self) -> list[tuple[str, int]]:
         return []
 
-    def take_strangers(self) -> list[tuple[str, int]]:
+    def pop_one_time_addresses(self) -> list[tuple[str, int]]:
         return []
 
     def link_lost(self, name: str, refused: bool, now: float) -> None:
--- a/tests/test_platform/test_processes.py
+++ b/tests/test_platform/test_processes.py
@@ -31,7 +31,7 @@
         async def main() -> None:
             with trio.fail_after(timeout_s):
                 async with hosted_mesh(*(services or SERVICES)) as mesh:
-                    await mesh.wait_served()
+                    await mesh.wait_until_serving()
                     await scenario(mesh)
 
         trio.run(main)
@@ -40,14 +40,16 @@
 class WholePathTest(ProcessTestCase):
     def test_request_reaches_a_backend_server_on_another_vm(self) -> None:
         async def scenario(mesh: HostedMesh) -> None:
-            response = await mesh.ask("vm-1", "/a/x?y=1", b"z" * 200_000, "abc")
+            response = await mesh.send_request(
+                "vm-1", "/a/x?y=1", b"z" * 200_000, "abc"
+            )
             self.assertEqual(response.status, 200)
             self.assertTrue(response.content.endswith(b" 200000"))
             self.assertEqual(dict(response.headers)[b"attempt-id"], b"abc")
             requests = [
                 request
                 for name in ("vm-0", "vm-2")
-                for request in mesh.backends[name].seen
+                for request in mesh.backends[name].requests
                 if request.get("attempt-id") == "abc"
             ]
             self.assertEqual(len(requests), 1)
@@ -55,7 +57,7 @@
             self.assertEqual(requests[0]["path"], "/a/x?y=1")
             self.assertIn(requests[0]["expected-instance"], ("i-vm-0", "i-vm-2"))
             self.assertLessEqual(int(requests[0]["deadline-ms"]), 2000)
-            missing = await mesh.ask("vm-1", "/b/1")
+            missing = await mesh.send_request("vm-1", "/b/1")
             self.assertEqual(missing.status, 404)
 
         self.run_mesh(scenario)
@@ -65,9 +67,11 @@
             mesh.put_configuration(prefix="/new/")
             with trio.fail_after(5):
                 for name in mesh.names:
-                    while (await mesh.ask(name, "/new/1")).status != 200:
+                    while (await mesh.send_request(name, "/new/1")).status != 200:
                         await trio.sleep(0.02)
-                    self.assertEqual((await mesh.ask(name, "/a/1")).status, 404)
+                    self.assertEqual(
+                        (await mesh.send_request(name, "/a/1")).status, 404
+                    )
             watches = [c for c in mesh.store.calls if "config?watch" in c]
             self.assertTrue(watches)
             creations = [c for c in mesh.store.calls if c.startswith("POST")]
@@ -106,10 +110,10 @@
             mesh.write_settings = lambda name, service: path  # type: ignore[method-assign]
             path.write_text(json.dumps(value))
             mesh.signal_node("vm-0", signal.SIGKILL)
-            await mesh.wait_ended("vm-0")
+            await mesh.wait_for_exit("vm-0")
             mesh.start_node("vm-0")
-            self.assertEqual(await mesh.wait_ended("vm-0"), 1)
-            last_line = mesh.log_of("vm-0").splitlines()[-1]
+            self.assertEqual(await mesh.wait_for_exit("vm-0"), 1)
+            last_line = mesh.read_log("vm-0").splitlines()[-1]
             self.assertTrue(last_line.startswith("[101 SETTINGS_INVALID]"), last_line)
 
         self.run_mesh(scenario)
@@ -121,29 +125,29 @@
     ) -> None:
         async def scenario(mesh: HostedMesh) -> None:
             backend = mesh.backends["vm-0"]
-            while not all(mesh.backends[name].seen for name in ("vm-0", "vm-2")):
-                await mesh.ask("vm-1")
+            while not all(mesh.backends[name].requests for name in ("vm-0", "vm-2")):
+                await mesh.send_request("vm-1")
             backend.state = "draining"
             sequence_before = backend.sequence
             with trio.fail_after(5):
-                while backend.acknowledged <= sequence_before:
+                while backend.acknowledged_sequence <= sequence_before:
                     await trio.sleep(0.02)
-            requests_before = len(backend.seen)
+            requests_before = len(backend.requests)
             for _ in range(20):
-                response = await mesh.ask("vm-1")
+                response = await mesh.send_request("vm-1")
                 self.assertEqual(response.status, 200, response.content)
-            self.assertEqual(len(backend.seen), requests_before)
+            self.assertEqual(len(backend.requests), requests_before)
 
         self.run_mesh(scenario)
 
     def test_stopped_node_completes_all_requests(self) -> None:
         async def scenario(mesh: HostedMesh) -> None:
             for backend in mesh.backends.values():
-                backend.run_s = 0.8
+                backend.service_time_s = 0.8
             statuses: list[int] = []
 
             async def send_request() -> None:
-                statuses.append((await mesh.ask("vm-0")).status)
+                statuses.append((await mesh.send_request("vm-0")).status)
 
             async with trio.open_nursery() as nursery:
                 for _ in range(6):
@@ -154,18 +158,18 @@
                 self.assertFalse(await mesh.is_ready("vm-0"))
                 nursery.start_soon(send_request)
             self.assertEqual(statuses, [200] * 7)
-            self.assertEqual(await mesh.wait_ended("vm-0"), 0)
+            self.assertEqual(await mesh.wait_for_exit("vm-0"), 0)
 
         self.run_mesh(scenario)
 
     def test_further_signals_do_not_end_a_drain(self) -> None:
         async def scenario(mesh: HostedMesh) -> None:
             for backend in mesh.backends.values():
-                backend.run_s = 1.2
+                backend.service_time_s = 1.2
             statuses: list[int] = []
 
             async def send_request() -> None:
-                statuses.append((await mesh.ask("vm-0")).status)
+                statuses.append((await mesh.send_request("vm-0")).status)
 
             async with trio.open_nursery() as nursery:
                 for _ in range(4):
@@ -175,7 +179,7 @@
                     mesh.signal_node("vm-0", signal_number)
                     await trio.sleep(0.2)
             self.assertEqual(statuses, [200] * 4)
-            self.assertEqual(await mesh.wait_ended("vm-0"), 0)
+            self.assertEqual(await mesh.wait_for_exit("vm-0"), 0)
 
         self.run_mesh(scenario)
 
@@ -184,13 +188,13 @@
     ) -> None:
         async def scenario(mesh: HostedMesh) -> None:
             for backend in mesh.backends.values():
-                backend.run_s = 30.0
+                backend.service_time_s = 30.0
             mesh.put_configuration(timeout_ms=20_000)
             await trio.sleep(1.0)
 
             async def send_request() -> None:
                 with contextlib.suppress(httpcore.NetworkError, httpcore.ProtocolError):
-                    await mesh.ask("vm-0", deadline_ms=20_000)
+                    await mesh.send_request("vm-0", deadline_ms=20_000)
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(send_request)
@@ -198,7 +202,7 @@
                 mesh.store.faults.silent = True
                 mesh.signal_node("vm-0", signal.SIGTERM)
                 started = trio.current_time()
-                await mesh.wait_ended("vm-0")
+                await mesh.wait_for_exit("vm-0")
                 self.assertLess(trio.current_time() - started, GRACE_S)
 
         self.run_mesh(scenario)
@@ -210,12 +214,12 @@
             for name in mesh.names:
                 mesh.signal_node(name, signal.SIGKILL)
             for name in mesh.names:
-                await mesh.wait_ended(name)
+                await mesh.wait_for_exit(name)
             with self.assertRaises((httpcore.ConnectError, httpcore.NetworkError)):
-                await mesh.ask("vm-0")
+                await mesh.send_request("vm-0")
             for name in mesh.names:
                 mesh.start_node(name)
-            await mesh.wait_served()
+            await mesh.wait_until_serving()
 
         self.run_mesh(scenario)
 
@@ -224,16 +228,16 @@
             mesh.store.faults.refused_status = 503
             await trio.sleep(2.0)
             for name in mesh.names:
-                self.assertEqual((await mesh.ask(name)).status, 200)
+                self.assertEqual((await mesh.send_request(name)).status, 200)
             mesh.signal_node("vm-1", signal.SIGKILL)
-            await mesh.wait_ended("vm-1")
+            await mesh.wait_for_exit("vm-1")
             mesh.start_node("vm-1")
-            await mesh.wait_served("vm-1")
+            await mesh.wait_until_serving("vm-1")
             mesh.store.faults.refused_status = 0
             mesh.put_configuration(prefix="/back/")
             with trio.fail_after(10):
                 for name in mesh.names:
-                    while (await mesh.ask(name, "/back/1")).status != 200:
+                    while (await mesh.send_request(name, "/back/1")).status != 200:
                         await trio.sleep(0.05)
 
         self.run_mesh(scenario)
@@ -251,13 +255,13 @@
                 while "succeeded" not in states and "rolled_back" not in states:
                     async with trio.open_nursery() as nursery:
                         for name in mesh.names:
-                            nursery.start_soon(mesh.ask, name)
+                            nursery.start_soon(mesh.send_request, name)
                     status = mesh.store.status_of("rollouts", "turnos")
                     states.add(status["state"] if status else "")
             self.assertEqual(states, {"", "running", "succeeded"})
-            requests_before = len(mesh.backends["vm-0"].seen)
+            requests_before = len(mesh.backends["vm-0"].requests)
             for _ in range(10):
-                self.assertEqual((await mesh.ask("vm-1")).status, 200)
-            self.assertEqual(len(mesh.backends["vm-0"].seen), requests_before)
+                self.assertEqual((await mesh.send_request("vm-1")).status, 200)
+            self.assertEqual(len(mesh.backends["vm-0"].requests), requests_before)
 
         self.run_mesh(scenario)
--- a/tests/test_platform/test_soak.py
+++ b/tests/test_platform/test_soak.py
@@ -16,9 +16,9 @@
 class SoakTest(unittest.TestCase):
     def test_responses_match_executions_and_the_mesh_recovers(self) -> None:
         soak = Soak(SEED, FAULT_PERIOD_S)
-        soak.play(TIMEOUT_S)
-        self.assertEqual(soak.lies, [])
-        self.assertIn(200, {item.status for item in soak.told})
+        soak.run(TIMEOUT_S)
+        self.assertEqual(soak.violations, [])
+        self.assertIn(200, {item.status for item in soak.results})
 
 
 class PlanTest(unittest.TestCase):
