--- a/bench/bench_move_bytes.py
+++ b/bench/bench_move_bytes.py
@@ -13,18 +13,18 @@
 
 from marigoldchute.moves.model import (
     CellReport,
-    Guidance,
+    CollectorResponse,
+    ConfirmationDigest,
     MemberReport,
     MoveReport,
     MoveSummary,
-    Stand,
     StreamReport,
 )
 from marigoldchute.moves.reporter import (
-    EXCHANGE_PER_CENTRE_S,
-    LATENCIES_EVERY,
+    EXCHANGE_PER_DATA_CENTRE_S,
+    MAX_REPORTS_PER_S,
     REPORT_INTERVAL_S,
-    REPORTS_PER_S,
+    REPORTS_PER_LATENCY_REPORT,
 )
 
 NODES, CENTRES, ROUTES, LEVELS = 870, 7, 3, 2
@@ -54,9 +54,11 @@
 
     mean_report = (
         _size(report({}))
-        + (_size(report(latencies)) - _size(report({}))) / LATENCIES_EVERY
+        + (_size(report(latencies)) - _size(report({}))) / REPORTS_PER_LATENCY_REPORT
+    )
+    guidance = _size(
+        [CollectorResponse("turnos-r2", 2, 10**6, 99.5, p95_ms={0: 9.5, 1: 9.5})]
     )
-    guidance = _size([Guidance("turnos-r2", 2, 10**6, 99.5, p95_ms={0: 9.5, 1: 9.5})])
     streams = tuple(
         StreamReport(route, metric, level, (-300, -300, -300, -300))
         for route in range(ROUTES)
@@ -64,25 +66,25 @@
         for level in range(-1, LEVELS)
     )
     summary = _size([MoveSummary("turnos-r2", 10**6, 99.5, False, streams, {0: 9.5})])
-    stand = _size([Stand("turnos-r2", 2**63, 2**63, 124)])
+    digest = _size([ConfirmationDigest("turnos-r2", 2**63, 2**63, 124)])
     per_centre = NODES / CENTRES
-    interval_s = max(REPORT_INTERVAL_S, per_centre / REPORTS_PER_S)
-    exchange_s = CENTRES * EXCHANGE_PER_CENTRE_S
+    interval_s = max(REPORT_INTERVAL_S, per_centre / MAX_REPORTS_PER_S)
+    exchange_s = CENTRES * EXCHANGE_PER_DATA_CENTRE_S
     member = (mean_report + guidance) / interval_s
     result = {
         "report_bytes": round(mean_report),
         "guidance_bytes": guidance,
         "summary_bytes": summary,
-        "stand_bytes": stand,
+        "stand_bytes": digest,
         "report_interval_s": round(interval_s, 2),
         "member_bytes_per_s": round(member),
         "collector_bytes_per_s": round(
             member * (per_centre - 1)
             + 2 * (CENTRES - 1) * (summary + CALL_OVERHEAD_BYTES) / exchange_s
-            + DRIVER_QUESTIONS_PER_S * (stand + CALL_OVERHEAD_BYTES)
+            + DRIVER_QUESTIONS_PER_S * (digest + CALL_OVERHEAD_BYTES)
         ),
         "driver_bytes_per_s": round(
-            DRIVER_QUESTIONS_PER_S * CENTRES * (stand + CALL_OVERHEAD_BYTES)
+            DRIVER_QUESTIONS_PER_S * CENTRES * (digest + CALL_OVERHEAD_BYTES)
         ),
     }
     print(json.dumps(result))
--- a/marigoldchute/admin/service.py
+++ b/marigoldchute/admin/service.py
@@ -128,11 +128,11 @@
                 f"verdict of {move_id} is unknown: {exc.message}",
                 ResultCode.MOVE_VERDICT_UNKNOWN,
             ) from exc
-        return self._move_status(state, await self._reporter.gather())
+        return self._move_status(state, await self._reporter.gather_reports())
 
     async def status(self) -> Status:
         """Return the status of the known members and moves."""
-        reports = await self._reporter.gather()
+        reports = await self._reporter.gather_reports()
         members = tuple(
             MemberStatus(
                 member.name,
@@ -169,7 +169,7 @@
             raise NotRunError(
                 "no bundle is in force yet", ResultCode.REQUEST_NOT_RUN_NO_BUNDLE
             )
-        if not self._membership.local.usable:
+        if not self._membership.local.accepts_requests:
             raise NotRunError(
                 "this node is draining", ResultCode.REQUEST_NOT_RUN_DRAINING
             )
--- a/marigoldchute/membership/announcement.py
+++ b/marigoldchute/membership/announcement.py
@@ -61,7 +61,7 @@
     code = ResultCode.ANNOUNCEMENT_INVALID
 
 
-def take_announcement(
+def handle_announcement(
     membership: Membership, body: bytes, sender: str, now_ms: int, now: float
 ) -> None:
     """Decode an announcement and register its backend server with the membership.
--- a/marigoldchute/membership/model.py
+++ b/marigoldchute/membership/model.py
@@ -92,7 +92,7 @@
     store_ms: int = 0
 
     @property
-    def usable(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether new requests may be sent to the member."""
         return self.state is MemberState.ALIVE
 
--- a/marigoldchute/membership/seeds.py
+++ b/marigoldchute/membership/seeds.py
@@ -57,7 +57,7 @@
     return f"{SEED_KEY_PREFIX}{data_centre}/{slot}"
 
 
-class SeedKeeper:
+class SeedSlotManager:
     """Joins the mesh through the seeds in the store and maintains this node's slot.
 
     Each data centre has ``SLOT_COUNT`` seed objects. The first members in rendezvous
--- a/marigoldchute/membership/service.py
+++ b/marigoldchute/membership/service.py
@@ -70,7 +70,7 @@
         self.contact = ContactTracker(
             cfg.name, cfg.data_centre, boottime_clock(), self.contact_timeouts
         )
-        self.on_incarnation: list[Callable[[int], None]] = []
+        self.on_new_incarnation: list[Callable[[int], None]] = []
         self.on_view_changed: list[Callable[[], None]] = []
         self._local = Member(
             name=cfg.name,
@@ -374,7 +374,7 @@
             "The incarnation of this node was ended; it rejoins under a new one.",
             incarnation=incarnation,
         )
-        for listener in self.on_incarnation:
+        for listener in self.on_new_incarnation:
             listener(incarnation)
         self._publish()
 
--- a/marigoldchute/membership/silence.py
+++ b/marigoldchute/membership/silence.py
@@ -25,7 +25,7 @@
 STORE_RETRY_DELAY_S = 5.0
 
 
-class SilenceJudge:
+class SilenceDetector:
     """Declares the silent members of this node's data centre gone.
 
     A gone marker is written to the store before the declaration. A member without
--- a/marigoldchute/moves/capacity.py
+++ b/marigoldchute/moves/capacity.py
@@ -57,7 +57,7 @@
     """
     slots = {move.old_release: 0, move.new_release: 0}
     for member in members.all():
-        if not member.usable:
+        if not member.accepts_requests:
             continue
         for server in member.servers:
             if server.service != move.service or server.release not in slots:
--- a/marigoldchute/moves/collector.py
+++ b/marigoldchute/moves/collector.py
@@ -10,7 +10,12 @@
 from marigoldchute.moves.centre import DataCentreEvidence, streams_of
 from marigoldchute.moves.evidence import log_e_value, merge_streams, worst_stream
 from marigoldchute.moves.judge import confirmation_digest
-from marigoldchute.moves.model import Guidance, MemberReport, MoveSummary, Stage
+from marigoldchute.moves.model import (
+    CollectorResponse,
+    MemberReport,
+    MoveSummary,
+    Stage,
+)
 from marigoldchute.moves.sequential import log_threshold
 from marigoldchute.moves.watch import SUSPECTED_THRESHOLD_FRACTION, describe_fault
 
@@ -19,7 +24,7 @@
     from marigoldchute.link.link import Link
     from marigoldchute.membership.model import Member, Members
     from marigoldchute.moves.engine import MoveEngine
-    from marigoldchute.moves.model import Stand
+    from marigoldchute.moves.model import ConfirmationDigest
     from marigoldchute.util.clock import Clock
 
 _REPORT = msgspec.msgpack.Decoder(MemberReport)
@@ -49,7 +54,7 @@
         self._reports: dict[str, MemberReport] = {}
         self._evidence: dict[str, DataCentreEvidence] = {}
         self._remote_summaries: dict[str, dict[str, MoveSummary]] = {}
-        self._guidance: dict[str, Guidance] = {}
+        self._guidance: dict[str, CollectorResponse] = {}
         handlers.register(Method.REPORT_EVIDENCE, self._handle_report)
         handlers.register(Method.LIST_CONFIRMATIONS, self._list_member_reports)
         handlers.register(Method.LIST_STANDS, self._list_confirmation_digests)
@@ -76,7 +81,7 @@
         """Return the latest report of each member."""
         return list(self._reports.values())
 
-    def confirmation_digests(self) -> list[Stand]:
+    def confirmation_digests(self) -> list[ConfirmationDigest]:
         """Return the confirmation digest of this data centre for each move."""
         members = self._local_members()
         return [
@@ -98,7 +103,7 @@
             existing = self._remote_summaries.setdefault(summary.move_id, {})
             existing[data_centre] = summary
 
-    def guidance(self) -> list[Guidance]:
+    def guidance(self) -> list[CollectorResponse]:
         """Return the guidance for members of this data centre, by undecided move."""
         return list(self._guidance.values())
 
@@ -139,7 +144,7 @@
 
     def _build_guidance(
         self, move_id: str, parts: list[MoveSummary], suspected: bool
-    ) -> Guidance:
+    ) -> CollectorResponse:
         move_reports = [
             item
             for report in self._reports.values()
@@ -154,7 +159,7 @@
         p95_ms: dict[int, float] = {}
         for part in reversed(parts):
             p95_ms |= part.p95_ms
-        return Guidance(
+        return CollectorResponse(
             move_id,
             min(rolling_steps, default=-1),
             sum(part.outcomes for part in parts),
--- a/marigoldchute/moves/driver.py
+++ b/marigoldchute/moves/driver.py
@@ -19,7 +19,7 @@
 
     from marigoldchute.membership.service import Membership
     from marigoldchute.moves.engine import MoveEngine
-    from marigoldchute.moves.model import Stand
+    from marigoldchute.moves.model import ConfirmationDigest
     from marigoldchute.moves.reporter import Reporter
     from marigoldchute.moves.state import MoveState
     from marigoldchute.objectstore.api import ObjectStore
@@ -134,7 +134,9 @@
             latest_ms = min(latest_ms, state.fault.at_ms + self._clock_error_ms)
         return now_ms > latest_ms + BACKUP_DELAY_MS
 
-    async def _decide(self, state: MoveState, digests: dict[str, Stand]) -> None:
+    async def _decide(
+        self, state: MoveState, digests: dict[str, ConfirmationDigest]
+    ) -> None:
         now_ms = self._clock.now_ms()
         decision = decide_verdict(
             state.move,
--- a/marigoldchute/moves/engine.py
+++ b/marigoldchute/moves/engine.py
@@ -10,8 +10,8 @@
 from marigoldchute.moves.capacity import Capacity, compute_capacity
 from marigoldchute.moves.model import (
     CellReport,
+    CollectorResponse,
     Fault,
-    Guidance,
     MoveReport,
     Split,
     Verdict,
@@ -81,7 +81,7 @@
         self._states: dict[str, MoveState] = {}
         self._by_service: dict[str, MoveState] = {}
         self._detectors: dict[str, LocalFaultDetector] = {}
-        self._guidance: dict[str, Guidance] = {}
+        self._guidance: dict[str, CollectorResponse] = {}
         self._capacity: dict[str, tuple[int, Capacity]] = {}
         self.recorder = EvidenceRecorder()
         in_force.on_swap(self._apply_bundle)
@@ -165,7 +165,7 @@
             state.joined_late,
         )
 
-    def apply_guidance(self, guidance: Iterable[Guidance]) -> None:
+    def apply_guidance(self, guidance: Iterable[CollectorResponse]) -> None:
         """Store the guidance received from the collector of the data centre."""
         for item in guidance:
             self._guidance[item.move_id] = item
@@ -196,7 +196,7 @@
             self._clock_error_ms,
         )
 
-    def rejoin(self) -> None:
+    def on_new_incarnation(self) -> None:
         """Mark this node as a late member of every move it has not confirmed.
 
         Called when this node starts a new incarnation: other members may have treated
@@ -234,7 +234,7 @@
         move = state.move
         guidance = self._guidance.get(move.move_id)
         detector = self._detectors[move.move_id]
-        totals = guidance if guidance is not None else Guidance(move.move_id)
+        totals = guidance if guidance is not None else CollectorResponse(move.move_id)
         capacity = self._cached_capacity(move, totals.concurrency, now_ms)
         if not self._use_evidence:
             return MoveInputs(capacity, guidance=guidance, schedule_only=True)
--- a/marigoldchute/moves/judge.py
+++ b/marigoldchute/moves/judge.py
@@ -6,7 +6,7 @@
 import hashlib
 from typing import TYPE_CHECKING
 
-from marigoldchute.moves.model import Stand, VerdictKind
+from marigoldchute.moves.model import ConfirmationDigest, VerdictKind
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -53,7 +53,7 @@
 
 def confirmation_digest(
     move_id: str, members: Iterable[Member], reports: Mapping[str, MemberReport]
-) -> Stand:
+) -> ConfirmationDigest:
     """Return digests of the members of a data centre that have confirmed a move.
 
     Parameters
@@ -71,7 +71,7 @@
         for name, incarnation in known
         if is_confirmed(reports.get(name), incarnation, move_id)
     ]
-    return Stand(
+    return ConfirmationDigest(
         move_id, members_digest(known), members_digest(confirmed), len(confirmed)
     )
 
@@ -80,7 +80,7 @@
     move: Move,
     fault: Fault | None,
     members: Iterable[Member],
-    digests: Mapping[str, Stand],
+    digests: Mapping[str, ConfirmationDigest],
     now_ms: int,
     clock_error_ms: int,
 ) -> Decision | None:
@@ -100,7 +100,7 @@
         Published fault of the new release.
     members : iterable of Member
         Members that are not gone, unreachable ones included.
-    digests : mapping of str to Stand
+    digests : mapping of str to ConfirmationDigest
         Latest confirmation digest of each data centre.
     now_ms : int
         Wall-clock time in milliseconds since the epoch.
@@ -128,7 +128,9 @@
     return None
 
 
-def _all_confirmed(digest: Stand | None, known: list[tuple[str, int]]) -> bool:
+def _all_confirmed(
+    digest: ConfirmationDigest | None, known: list[tuple[str, int]]
+) -> bool:
     if digest is None:
         return False
     return digest.members == digest.confirmed == members_digest(known)
--- a/marigoldchute/moves/model.py
+++ b/marigoldchute/moves/model.py
@@ -147,7 +147,7 @@
     moves: tuple[MoveReport, ...]
 
 
-class Stand(msgspec.Struct, frozen=True, array_like=True):
+class ConfirmationDigest(msgspec.Struct, frozen=True, array_like=True):
     """Digest of the members of a data centre that have confirmed a move.
 
     Parameters
@@ -204,7 +204,7 @@
     p95_ms: dict[int, float]
 
 
-class Guidance(msgspec.Struct, frozen=True, array_like=True):
+class CollectorResponse(msgspec.Struct, frozen=True, array_like=True):
     """Response of a collector to a member's report, for one move.
 
     Parameters
--- a/marigoldchute/moves/reporter.py
+++ b/marigoldchute/moves/reporter.py
@@ -9,7 +9,12 @@
 
 from marigoldchute.errors import AuthError, PeerError
 from marigoldchute.link.methods import Method
-from marigoldchute.moves.model import Guidance, MemberReport, MoveSummary, Stand
+from marigoldchute.moves.model import (
+    CollectorResponse,
+    ConfirmationDigest,
+    MemberReport,
+    MoveSummary,
+)
 from marigoldchute.overlay.duties import COLLECTOR
 
 if TYPE_CHECKING:
@@ -25,19 +30,19 @@
     from marigoldchute.util.clock import Clock
 
 REPORT_INTERVAL_S = 1.0
-REPORTS_PER_S = 12.0
+MAX_REPORTS_PER_S = 12.0
 MAX_JITTER_S = 1.0
 UNCHANGED_REPORT_INTERVAL_S = 10.0
 MERGE_INTERVAL_S = 0.5
 EXCHANGE_INTERVAL_S = 1.0
-EXCHANGE_PER_CENTRE_S = 0.3
+EXCHANGE_PER_DATA_CENTRE_S = 0.3
 CALL_TIMEOUT_S = 2.0
 RETRY_DELAY_S = 0.1
-LATENCIES_EVERY = 8
+REPORTS_PER_LATENCY_REPORT = 8
 
 _REPORTS = msgspec.msgpack.Decoder(list[MemberReport])
-_GUIDANCE = msgspec.msgpack.Decoder(list[Guidance])
-_CONFIRMATION_DIGESTS = msgspec.msgpack.Decoder(list[Stand])
+_GUIDANCE = msgspec.msgpack.Decoder(list[CollectorResponse])
+_CONFIRMATION_DIGESTS = msgspec.msgpack.Decoder(list[ConfirmationDigest])
 _SUMMARIES = msgspec.msgpack.Decoder(list[MoveSummary])
 
 
@@ -65,10 +70,10 @@
         self._sequence = 0
         self._last_state: tuple[str, int, tuple[MoveReport, ...]] | None = None
         self._last_report_at = 0.0
-        self._digests: dict[str, dict[str, Stand]] = {}
-        in_force.on_swap(lambda bundle: self.wake())
+        self._digests: dict[str, dict[str, ConfirmationDigest]] = {}
+        in_force.on_swap(lambda bundle: self.request_report())
 
-    def wake(self) -> None:
+    def request_report(self) -> None:
         """Request an early report because the state of a move changed."""
         self._changed.set()
 
@@ -83,12 +88,12 @@
     def interval_s(self) -> float:
         """Report interval in seconds, which grows with the size of the data centre.
 
-        It keeps a collector at no more than ``REPORTS_PER_S``, whatever the number of
-        members.
+        It keeps a collector at no more than ``MAX_REPORTS_PER_S``, whatever the number
+        of members.
         """
         data_centre = self._membership.local.data_centre
         member_count = sum(m.data_centre == data_centre for m in self._membership.all())
-        return max(REPORT_INTERVAL_S, member_count / REPORTS_PER_S)
+        return max(REPORT_INTERVAL_S, member_count / MAX_REPORTS_PER_S)
 
     async def _report_changes(self) -> None:
         counts_due_at = 0.0
@@ -110,7 +115,7 @@
         target = self._membership.duties.holder(COLLECTOR, local.data_centre)
         if target is None:
             return True
-        moves = self._engine.reports(self._sequence % LATENCIES_EVERY == 0)
+        moves = self._engine.reports(self._sequence % REPORTS_PER_LATENCY_REPORT == 0)
         if not include_counts:
             moves = tuple(_without_counts(move) for move in moves)
         state = (target, self._in_force.version, moves)
@@ -160,7 +165,9 @@
     async def _exchange_summaries(self) -> None:
         while True:
             data_centres = len({m.data_centre for m in self._membership.all()})
-            interval_s = max(EXCHANGE_INTERVAL_S, data_centres * EXCHANGE_PER_CENTRE_S)
+            interval_s = max(
+                EXCHANGE_INTERVAL_S, data_centres * EXCHANGE_PER_DATA_CENTRE_S
+            )
             await trio.sleep(interval_s)
             undecided = any(s.verdict is None for s in self._engine.states())
             if undecided and self._is_collector:
@@ -189,7 +196,7 @@
         if body is not None:
             self._collector.apply_summaries(data_centre, _SUMMARIES.decode(body))
 
-    async def gather_confirmations(self) -> dict[str, dict[str, Stand]]:
+    async def gather_confirmations(self) -> dict[str, dict[str, ConfirmationDigest]]:
         """Return the latest confirmation digest of each data centre, by move.
 
         Confirmations are never withdrawn, so the digest of a data centre that no longer
@@ -209,7 +216,7 @@
         for digest in digests:
             self._digests.setdefault(digest.move_id, {})[data_centre] = digest
 
-    async def gather(self) -> dict[str, MemberReport]:
+    async def gather_reports(self) -> dict[str, MemberReport]:
         """Return the latest reports of all reachable data centres, by member."""
         gathered: dict[str, MemberReport] = {}
 
--- a/marigoldchute/moves/state.py
+++ b/marigoldchute/moves/state.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from marigoldchute.moves.capacity import Capacity
-from marigoldchute.moves.model import Guidance, Stage, VerdictKind
+from marigoldchute.moves.model import CollectorResponse, Stage, VerdictKind
 from marigoldchute.moves.schedule import MIN_OUTCOMES, Progress, due_step
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
         confirmation.
     degraded : bool
         Whether the new release, running alone, fails more than the old one did.
-    guidance : Guidance, optional
+    guidance : CollectorResponse, optional
         Latest guidance from the collector of the data centre.
     schedule_only : bool
         Whether steps follow the schedule without waiting for outcomes.
@@ -41,7 +41,7 @@
     outcomes: int = 0
     suspected: bool = False
     degraded: bool = False
-    guidance: Guidance | None = None
+    guidance: CollectorResponse | None = None
     schedule_only: bool = False
 
 
@@ -141,7 +141,7 @@
             return 0.0
         return 1.0
 
-    def is_share_known(self, guidance: Guidance | None) -> bool:
+    def is_share_known(self, guidance: CollectorResponse | None) -> bool:
         """Whether the share that the member must have is known.
 
         After the deadline, a late member without the verdict needs a peer that a driver
--- a/marigoldchute/node.py
+++ b/marigoldchute/node.py
@@ -20,9 +20,9 @@
 from marigoldchute.link.stats import collect_stats
 from marigoldchute.membership.exchange import ContactExchange
 from marigoldchute.membership.probe import Prober
-from marigoldchute.membership.seeds import SeedKeeper
+from marigoldchute.membership.seeds import SeedSlotManager
 from marigoldchute.membership.service import Membership
-from marigoldchute.membership.silence import SilenceJudge
+from marigoldchute.membership.silence import SilenceDetector
 from marigoldchute.moves.collector import Collector
 from marigoldchute.moves.driver import Driver, VerdictReader
 from marigoldchute.moves.engine import MoveEngine
@@ -71,7 +71,7 @@
             self._handle_accepted_link,
         )
         self._overlay = Overlay(self._endpoint, handlers, self._record_table, rng)
-        self._membership.on_incarnation.append(self._endpoint.begin_incarnation)
+        self._membership.on_new_incarnation.append(self._endpoint.begin_incarnation)
         address_of = self._membership.address_of
         self._control_pool = LinkPool(self._endpoint, "control-call", address_of)
         self._traffic_pool = LinkPool(self._endpoint, "traffic", address_of)
@@ -82,8 +82,10 @@
         self._prober = Prober(
             self._membership, self._endpoint, self._overlay, handlers, rng
         )
-        self._silence_detector = SilenceJudge(self._membership, store)
-        self._seed_keeper = SeedKeeper(self._membership, self._overlay, store, rng)
+        self._silence_detector = SilenceDetector(self._membership, store)
+        self._seed_slot_manager = SeedSlotManager(
+            self._membership, self._overlay, store, rng
+        )
         verifier = SignatureVerifier(cfg.trusted_keys)
         self._replicator = Replicator(
             self._membership,
@@ -123,7 +125,9 @@
             self._clock,
             cfg.clock_error_ms,
         )
-        self._membership.on_incarnation.append(lambda _: self._engine.rejoin())
+        self._membership.on_new_incarnation.append(
+            lambda _: self._engine.on_new_incarnation()
+        )
         self._verdict_reader = VerdictReader(
             self._engine, store, lambda: self._replicator.is_reader
         )
@@ -172,7 +176,7 @@
             nursery.start_soon(self._exchange.run)
             nursery.start_soon(self._prober.run)
             nursery.start_soon(self._silence_detector.run)
-            nursery.start_soon(self._seed_keeper.run)
+            nursery.start_soon(self._seed_slot_manager.run)
             nursery.start_soon(self._replicator.run)
             nursery.start_soon(self._reporter.run)
             nursery.start_soon(self._driver.run)
@@ -222,7 +226,7 @@
             self._membership.expire_tombstones(self._clock.now_ms())
             self._duty_log.check()
             if self._engine.advance(self._clock.now_ms()):
-                self._reporter.wake()
+                self._reporter.request_report()
             await trio.sleep(
                 CHECK_INTERVAL_S if self._engine.states() else IDLE_CHECK_INTERVAL_S
             )
--- a/marigoldchute/orders/driver.py
+++ b/marigoldchute/orders/driver.py
@@ -313,7 +313,7 @@
             and server.release == state.target
             and not server.draining
             for member in self._directory.all()
-            if member.usable
+            if member.accepts_requests
             for server in member.servers
         )
         elapsed_s = now - self._started_at[state.order_id]
--- a/marigoldchute/routing/candidates.py
+++ b/marigoldchute/routing/candidates.py
@@ -84,7 +84,7 @@
         targets: dict[tuple[str, int, str, str], Target] = {}
         by_release: dict[tuple[str, str], list[Target]] = {}
         for member in self._members.all():
-            if not member.usable:
+            if not member.accepts_requests:
                 continue
             for server in member.servers:
                 if server.draining:
--- a/marigoldchute/routing/path.py
+++ b/marigoldchute/routing/path.py
@@ -7,7 +7,7 @@
 import trio
 
 from marigoldchute.errors import MarigoldchuteError, ResultCode
-from marigoldchute.membership.announcement import ANNOUNCE_TARGET, take_announcement
+from marigoldchute.membership.announcement import ANNOUNCE_TARGET, handle_announcement
 from marigoldchute.overlay.records import RecordKind
 from marigoldchute.routing.choice import NearestLeastLoaded
 from marigoldchute.routing.entry import Entry
@@ -147,7 +147,7 @@
                 return
         status, text = 204, b""
         try:
-            take_announcement(
+            handle_announcement(
                 self._membership,
                 body,
                 responder.peer_address,
--- a/tests/test_hosted/test_directory.py
+++ b/tests/test_hosted/test_directory.py
@@ -46,7 +46,7 @@
         member = self.directory.get("vm-2")
         assert member is not None
         self.assertIs(member.state, MemberState.UNREACHABLE)
-        self.assertFalse(member.usable)
+        self.assertFalse(member.accepts_requests)
         self.assertIn("vm-2", self.directory.wanted_peers())
         self.directory.link_up("vm-2", 1, 1.0)
         self.assertEqual(len(self.directory.reachable()), 2)
@@ -86,16 +86,16 @@
         for name in self.names:
             member = self.directory.get(name)
             assert member is not None
-            self.assertEqual(member.usable, name not in wanted, name)
+            self.assertEqual(member.accepts_requests, name not in wanted, name)
 
     def test_lost_member_is_usable_once_its_link_is_unwanted(self) -> None:
         make_directory("vm-2", other := RecordTable())
         replicate(other, self.table)
         self.directory.link_lost("vm-2", False, 1.0)
-        self.assertFalse(self.directory.get("vm-2").usable)  # type: ignore[union-attr]
+        self.assertFalse(self.directory.get("vm-2").accepts_requests)  # type: ignore[union-attr]
         self.add_members()
         if "vm-2" not in self.directory.wanted_peers():
-            self.assertTrue(self.directory.get("vm-2").usable)  # type: ignore[union-attr]
+            self.assertTrue(self.directory.get("vm-2").accepts_requests)  # type: ignore[union-attr]
 
 
 class RestartTest(unittest.TestCase):
--- a/tests/test_membership/test_announcement.py
+++ b/tests/test_membership/test_announcement.py
@@ -8,7 +8,7 @@
 from marigoldchute.config import NodeSettings, StoreSettings
 from marigoldchute.errors import ResultCode
 from marigoldchute.events import EventSink
-from marigoldchute.membership.announcement import AnnouncementError, take_announcement
+from marigoldchute.membership.announcement import AnnouncementError, handle_announcement
 from marigoldchute.membership.model import MemberState
 from marigoldchute.membership.service import ANNOUNCEMENT_TTL_S, Membership
 from marigoldchute.overlay.records import RecordTable
@@ -34,7 +34,7 @@
 
 def _announce(membership: Membership, now: float = 0.0, **changes: object) -> None:
     body = json.dumps(VALID | changes).encode()
-    take_announcement(membership, body, ADDRESS, 0, now)
+    handle_announcement(membership, body, ADDRESS, 0, now)
 
 
 class AnnouncementTest(unittest.TestCase):
@@ -71,16 +71,16 @@
     def test_small_shift_of_the_cold_start_does_not_change_the_record(self) -> None:
         membership = _membership()
         body = json.dumps(VALID | {"cold_ms": 5000}).encode()
-        take_announcement(membership, body, ADDRESS, 1000, 1.0)
+        handle_announcement(membership, body, ADDRESS, 1000, 1.0)
         before = membership.local
         body = json.dumps(VALID | {"cold_ms": 3990}).encode()
-        take_announcement(membership, body, ADDRESS, 2005, 2.0)
+        handle_announcement(membership, body, ADDRESS, 2005, 2.0)
         self.assertIs(membership.local, before)
 
     def test_announcement_from_another_vm_is_rejected(self) -> None:
         body = json.dumps(VALID).encode()
         with self.assertRaises(AnnouncementError) as caught:
-            take_announcement(_membership(), body, "127.0.0.10", 0, 0.0)
+            handle_announcement(_membership(), body, "127.0.0.10", 0, 0.0)
         self.assertIs(caught.exception.code, ResultCode.ANNOUNCEMENT_FOREIGN)
 
     def test_malformed_announcements_are_rejected_with_a_result_code(self) -> None:
@@ -101,7 +101,7 @@
                 self.subTest(body=body),
                 self.assertRaises(AnnouncementError) as caught,
             ):
-                take_announcement(membership, body, ADDRESS, 0, 0.0)
+                handle_announcement(membership, body, ADDRESS, 0, 0.0)
             self.assertIs(caught.exception.code, ResultCode.ANNOUNCEMENT_INVALID)
         self.assertEqual(membership.local.servers, ())
 
--- a/tests/test_membership/test_gone_safety.py
+++ b/tests/test_membership/test_gone_safety.py
@@ -15,7 +15,7 @@
 from marigoldchute.membership.contact import ContactTimeouts, ContactTracker
 from marigoldchute.membership.exchange import ContactExchange
 from marigoldchute.membership.model import Member, MemberState
-from marigoldchute.membership.silence import SilenceJudge
+from marigoldchute.membership.silence import SilenceDetector
 from marigoldchute.objectstore.api import StoredObject
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
 
 
 class _Node:
-    """The part of ``Membership`` that ``SilenceJudge`` and ``ContactExchange`` use."""
+    """The part of ``Membership`` that the silence detector and contact exchange use."""
 
     def __init__(self, local: Member, store: _Store, clock: _VirtualClock) -> None:
         self.local = local
@@ -83,7 +83,7 @@
         client: Any = store.client_of(local.name)
         membership: Any = self
         unused: Any = None
-        self.monitor = SilenceJudge(membership, client, lambda: clock.now)
+        self.monitor = SilenceDetector(membership, client, lambda: clock.now)
         self.exchange = ContactExchange(
             membership, unused, client, Handlers(), unused, random.Random(1)
         )
--- a/tests/test_membership/test_seed_slots.py
+++ b/tests/test_membership/test_seed_slots.py
@@ -9,7 +9,7 @@
 import trio
 
 from marigoldchute.membership.model import Member
-from marigoldchute.membership.seeds import SLOT_COUNT, SeedKeeper
+from marigoldchute.membership.seeds import SLOT_COUNT, SeedSlotManager
 from tests.support.fake_store import FakeStore
 
 if TYPE_CHECKING:
@@ -50,11 +50,11 @@
         self.one_time_addresses.append((address, port))
 
 
-def _keeper(members: _Membership, store: FakeStore) -> SeedKeeper:
+def _slot_manager(members: _Membership, store: FakeStore) -> SeedSlotManager:
     membership: Any = members
     overlay: Any = None
     object_store: Any = store
-    return SeedKeeper(membership, overlay, object_store, random.Random(1))
+    return SeedSlotManager(membership, overlay, object_store, random.Random(1))
 
 
 class SeedSlotsTest(unittest.TestCase):
@@ -63,9 +63,9 @@
             names = [str(i) for i in range(size)]
             store = _CountingStore()
             for name in names:
-                keeper = _keeper(_Membership(name, names), store)
+                slot_manager = _slot_manager(_Membership(name, names), store)
                 for now in range(0, 290, 3):
-                    await keeper.update_slot(float(now))
+                    await slot_manager.update_slot(float(now))
             self.assertEqual(len(store.objects), SLOT_COUNT)
             return store.calls
 
@@ -77,8 +77,8 @@
             store = FakeStore()
             first = _Membership("1", ["1"])
             second = _Membership("2", ["2"])
-            await _keeper(first, store).update_slot(0.0)
-            await _keeper(second, store).update_slot(0.0)
+            await _slot_manager(first, store).update_slot(0.0)
+            await _slot_manager(second, store).update_slot(0.0)
             self.assertEqual(second.one_time_addresses, [("127.0.0.1", 7000)])
 
         trio.run(body)
--- a/tests/test_moves/test_state.py
+++ b/tests/test_moves/test_state.py
@@ -6,7 +6,7 @@
 
 from marigoldchute.bundle.model import Move, Step
 from marigoldchute.moves.capacity import Capacity
-from marigoldchute.moves.model import Guidance, Stage
+from marigoldchute.moves.model import CollectorResponse, Stage
 from marigoldchute.moves.schedule import MIN_OUTCOMES, Progress, due_step
 from marigoldchute.moves.state import MoveInputs, MoveState
 
@@ -89,7 +89,7 @@
         cases = (((1, 0), 1.0), ((1, 1), 0.0), ((0, 1), 0.0))
         for (confirmed, returned), share in cases:
             state = MoveState(MOVE, joined_late=True)
-            guidance = Guidance("m", confirmed=confirmed, returned=returned)
+            guidance = CollectorResponse("m", confirmed=confirmed, returned=returned)
             state.advance(11_000, ERROR_MS, MoveInputs(guidance=guidance))
             self.assertEqual(state.share, share)
             self.assertTrue(state.is_share_known(guidance))
@@ -102,5 +102,7 @@
 
     def test_late_member_starts_at_step_in_force(self) -> None:
         state = MoveState(MOVE, joined_late=True)
-        state.advance(3000, ERROR_MS, MoveInputs(guidance=Guidance("m", step=1)))
+        state.advance(
+            3000, ERROR_MS, MoveInputs(guidance=CollectorResponse("m", step=1))
+        )
         self.assertEqual(state.share, 0.5)
--- a/tests/test_moves/test_verdict_protocol.py
+++ b/tests/test_moves/test_verdict_protocol.py
@@ -26,8 +26,8 @@
 from marigoldchute.membership.model import Member
 from marigoldchute.moves.judge import confirmation_digest, decide_verdict
 from marigoldchute.moves.model import (
+    CollectorResponse,
     Fault,
-    Guidance,
     MemberReport,
     MoveReport,
     Stage,
@@ -75,7 +75,7 @@
         self.alive = True
         self.paused = False
         self.state = MoveState(MOVE, joined_late)
-        self.guidance: Guidance | None = None
+        self.guidance: CollectorResponse | None = None
         self.sequence = 0
 
     def tick(self, true_ms: int) -> None:
@@ -214,7 +214,7 @@
         stages = [
             move.stage for r in self.reports[data_centre].values() for move in r.moves
         ]
-        guidance = Guidance(
+        guidance = CollectorResponse(
             "m",
             confirmed=sum(stage == Stage.CONFIRMED for stage in stages),
             returned=sum(stage == Stage.RETURNED for stage in stages),
