--- a/bench/bench_scale.py
+++ b/bench/bench_scale.py
@@ -21,7 +21,7 @@
 from marigoldchute.events import EventSink
 from marigoldchute.membership.model import BackendServer, Member
 from marigoldchute.membership.service import Membership
-from marigoldchute.overlay.records import BUCKETS, Record, RecordKind, RecordTable
+from marigoldchute.overlay.records import NUM_BUCKETS, Record, RecordKind, RecordTable
 from marigoldchute.overlay.topology import rendezvous_order, wanted_peers
 
 if TYPE_CHECKING:
@@ -107,12 +107,12 @@
     for number in range(1, size):
         member = _member(number)
         body = msgspec.msgpack.encode(member)
-        table.offer(Record(RecordKind.MEMBER, member.name, (1, 6), body))
+        table.apply(Record(RecordKind.MEMBER, member.name, (1, 6), body))
     state_kb = tracemalloc.get_traced_memory()[0] / 1000
     tracemalloc.stop()
     local = membership.local
     records = table.of_kind(RecordKind.MEMBER)
-    bucket = random.Random(1).randrange(BUCKETS)
+    bucket = random.Random(1).randrange(NUM_BUCKETS)
     return ScaleFigures(
         size,
         _time_ms(lambda: wanted_peers(local, membership.all())),
@@ -123,7 +123,7 @@
         len(records[1].body),
         round(state_kb, 1),
         round(len(msgspec.msgpack.encode(records)) / 1000, 1),
-        len(msgspec.msgpack.encode(table.ids_in([bucket]))),
+        len(msgspec.msgpack.encode(table.ids_in_buckets([bucket]))),
     )
 
 
--- a/marigoldchute/distribution/chunks.py
+++ b/marigoldchute/distribution/chunks.py
@@ -95,5 +95,5 @@
     async def _wait_for_drain(self, link: Link) -> None:
         """Wait until earlier responses are sent, so that few are queued on a link."""
         with trio.move_on_after(DRAIN_TIMEOUT_S):
-            while link.alive and link.pending_bytes > 0:
+            while link.is_open and link.pending_bytes > 0:
                 await trio.sleep(DRAIN_POLL_INTERVAL_S)
--- a/marigoldchute/distribution/holders.py
+++ b/marigoldchute/distribution/holders.py
@@ -39,8 +39,8 @@
         self._on_change = on_change
         self._versions: dict[str, int] = {}
         in_force.on_swap(lambda bundle: self._notify_all())
-        overlay.on_neighbour.append(self._notify)
-        handlers.register(Method.HAVE_VERSION, self._handle_have_version)
+        overlay.neighbour_listeners.append(self._notify)
+        handlers.register(Method.ANNOUNCE_VERSION, self._handle_have_version)
 
     def links_with_version(self, version: int) -> list[Link]:
         """Return the links to peers that have reported at least this version."""
@@ -63,7 +63,7 @@
             return
         body = msgspec.msgpack.encode(self._in_force.version)
         try:
-            link.notify(Method.HAVE_VERSION, body)
+            link.notify(Method.ANNOUNCE_VERSION, body)
         except PeerError:
             return  # The peer is notified again when the link is re-established.
 
--- a/marigoldchute/distribution/joining.py
+++ b/marigoldchute/distribution/joining.py
@@ -71,7 +71,7 @@
         self._responders: set[str] = set()
         self._data_received_at: float | None = None
         self.synchronized = trio.Event()
-        handlers.register(Method.GET_HEAD, self._handle_get_head)
+        handlers.register(Method.GET_LATEST_MANIFEST, self._handle_get_head)
 
     def record_store_read(self) -> None:
         """Count the store as one of the responders."""
@@ -91,7 +91,7 @@
 
     async def _request_head(self, link: Link) -> None:
         try:
-            response = await link.call(Method.GET_HEAD, b"", CALL_TIMEOUT_S)
+            response = await link.call(Method.GET_LATEST_MANIFEST, b"", CALL_TIMEOUT_S)
             head = _HEAD_RESPONSE.decode(response)
         except (PeerError, msgspec.DecodeError):
             return
--- a/marigoldchute/distribution/service.py
+++ b/marigoldchute/distribution/service.py
@@ -100,7 +100,7 @@
             log,
             rng,
         )
-        table.validate(RecordKind.BUNDLE, self._is_valid_record)
+        table.register_validator(RecordKind.BUNDLE, self._is_valid_record)
         table.subscribe(RecordKind.BUNDLE, self._apply_record)
 
     @property
@@ -167,7 +167,7 @@
             return
         record = Record(RecordKind.BUNDLE, HEAD_KEY, (version, 0), body)
         if not self._is_direct:
-            self._table.offer(record)
+            self._table.apply(record)
         elif self._is_valid_record(record):
             self._apply_record(record)
 
--- a/marigoldchute/hosted/directory.py
+++ b/marigoldchute/hosted/directory.py
@@ -110,7 +110,7 @@
     def leave(self, now_ms: int) -> None:
         """Publish to the mesh that this node stops."""
         self._leaving = True
-        self._table.offer(claim_record(self._local, MemberState.GONE, now_ms))
+        self._table.apply(claim_record(self._local, MemberState.GONE, now_ms))
 
     @property
     def is_full_mesh(self) -> bool:
@@ -187,7 +187,7 @@
 
     def _publish_local(self) -> None:
         if not self._leaving:
-            self._table.offer(own_record(self._local))
+            self._table.apply(own_record(self._local))
 
     def _handle_record(self, record: Record) -> None:
         member = _MEMBER.decode(record.body)
--- a/marigoldchute/hosted/node.py
+++ b/marigoldchute/hosted/node.py
@@ -213,7 +213,7 @@
             ),
             lambda: self._cfg.service,
         )
-        handlers.stream = self._owner.serve
+        handlers.stream_handler = self._owner.serve
         control, readiness = adapter.control_handlers(
             self._registry, lambda: self._cfg.backend, self.is_ready, self._clock
         )
--- a/marigoldchute/hosted/registry.py
+++ b/marigoldchute/hosted/registry.py
@@ -206,7 +206,7 @@
     def _record_leave(self, instance: str, born_ms: int, reason: str) -> None:
         body = msgspec.msgpack.encode(_LeaveBody(born_ms))
         record = Record(RecordKind.LEAVING, instance, (born_ms, 0), body)
-        if self._table.offer(record):
+        if self._table.apply(record):
             self._log.emit(
                 "registry",
                 "server_leaving",
@@ -228,7 +228,7 @@
         assert self._current is not None
         body = msgspec.msgpack.encode(self._published[0])
         rank = (self._current.born_ms, 0)
-        self._table.offer(Record(RecordKind.VM_SERVER, self._node, rank, body))
+        self._table.apply(Record(RecordKind.VM_SERVER, self._node, rank, body))
 
     def _adopt_server(self, record: Record) -> None:
         """Adopt the backend server that an earlier node process of this VM registered.
--- a/marigoldchute/hosted/relay.py
+++ b/marigoldchute/hosted/relay.py
@@ -69,7 +69,7 @@
         self._offer_received = trio.Event()
         handlers.register(Method.OFFER_BUNDLE, self._handle_offer)
         handlers.register(Method.FETCH_BUNDLE, self._handle_fetch)
-        overlay.on_neighbour.append(self._offer_to)
+        overlay.neighbour_listeners.append(self._offer_to)
         catalog.on_update.append(self._offer_to_all)
 
     async def run(self) -> None:
@@ -100,7 +100,7 @@
         self._offers = {
             link: revision
             for link, revision in self._offers.items()
-            if link.alive and revision > current_revision
+            if link.is_open and revision > current_revision
         }
         if not self._offers:
             return None
--- a/marigoldchute/link/endpoint.py
+++ b/marigoldchute/link/endpoint.py
@@ -170,7 +170,7 @@
         handshake: HandshakeStream,
         peer: PeerIdentity,
         purpose: str,
-        opened_here: bool,
+        is_initiator: bool,
     ) -> Link:
         sock = socket.socket(fileno=stream.socket.detach())
         return Link(
@@ -178,7 +178,7 @@
             decoder,
             peer,
             purpose,
-            opened_here,
+            is_initiator,
             self._handlers,
             self._clock,
             self._heartbeat_ms,
@@ -245,7 +245,7 @@
         accepted = [
             link
             for link in self.links
-            if not link.opened_here and link.purpose == CONTROL_PURPOSE
+            if not link.is_initiator and link.purpose == CONTROL_PURPOSE
         ]
         return len(accepted) >= MAX_ACCEPTED_CONTROL_LINKS
 
--- a/marigoldchute/link/handlers.py
+++ b/marigoldchute/link/handlers.py
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         self._calls: dict[int, CallHandler] = {}
-        self.stream: StreamHandler | None = None
+        self.stream_handler: StreamHandler | None = None
 
     def register(self, method: int, handler: CallHandler) -> None:
         """Register the handler of a method number."""
--- a/marigoldchute/link/link.py
+++ b/marigoldchute/link/link.py
@@ -58,7 +58,7 @@
         Identity of the other end.
     purpose : str
         Purpose of the link, chosen by the end that connected.
-    opened_here : bool
+    is_initiator : bool
         Whether this end connected. Determines the parity of the stream numbers that
         this end assigns.
     handlers : Handlers
@@ -77,7 +77,7 @@
         decoder: FrameDecoder,
         peer: PeerIdentity,
         purpose: str,
-        opened_here: bool,
+        is_initiator: bool,
         handlers: Handlers,
         clock: HybridClock,
         heartbeat_ms: int,
@@ -85,7 +85,7 @@
     ) -> None:
         self.peer = peer
         self.purpose = purpose
-        self.opened_here = opened_here
+        self.is_initiator = is_initiator
         self.closed = trio.Event()
         self.bytes_sent = 0
         self.bytes_received = 0
@@ -96,7 +96,7 @@
         self._handlers = handlers
         self._clock = clock
         self._heartbeat_s = heartbeat_ms / 1000
-        self._stream_numbers = itertools.count(1 if opened_here else 2, 2)
+        self._stream_numbers = itertools.count(1 if is_initiator else 2, 2)
         self._streams: dict[int, Stream] = {}
         self._pending_calls: dict[int, PendingCall] = {}
         self._write_buffer = bytearray()
@@ -108,12 +108,12 @@
         self._nursery: trio.Nursery | None = None
 
     @property
-    def alive(self) -> bool:
+    def is_open(self) -> bool:
         """Whether the link can still be used."""
         return not self.closed.is_set()
 
     @property
-    def suspect(self) -> bool:
+    def is_suspected(self) -> bool:
         """Whether a heartbeat of the peer is overdue, so that a new link is needed."""
         since_received_s = trio.current_time() - self._last_received_at
         return since_received_s > SUSPECT_HEARTBEATS * self._heartbeat_s
@@ -129,7 +129,7 @@
         return len(self._streams)
 
     @property
-    def unused_s(self) -> float:
+    def idle_s(self) -> float:
         """Seconds since the last stream on the link closed; 0 while one is open."""
         return 0.0 if self._streams else trio.current_time() - self._last_used_at
 
@@ -263,7 +263,7 @@
             raise
         return stream
 
-    def forget_stream(self, stream: Stream) -> None:
+    def remove_stream(self, stream: Stream) -> None:
         """Remove a stream after both of its directions have finished."""
         self._streams.pop(stream.number, None)
         self._last_used_at = trio.current_time()
@@ -360,7 +360,7 @@
         if stream is not None:
             stream.handle_frame(kind, body)
             return
-        opened_by_peer = number % 2 == (0 if self.opened_here else 1)
+        opened_by_peer = number % 2 == (0 if self.is_initiator else 1)
         if kind != FrameKind.OPEN or not opened_by_peer:
             return
         stream = Stream(self, number, body)
@@ -370,27 +370,27 @@
 
     async def _serve_stream(self, stream: Stream) -> None:
         try:
-            if self._handlers.stream is None:
+            if self._handlers.stream_handler is None:
                 stream.reset(ResultCode.PEER_PROTOCOL)
                 return
-            await self._handlers.stream(stream)
+            await self._handlers.stream_handler(stream)
         except PeerError:
             pass
         except DECODE_ERRORS:
-            if self.alive:
+            if self.is_open:
                 stream.reset(ResultCode.PEER_PROTOCOL)
         finally:
-            self.forget_stream(stream)
+            self.remove_stream(stream)
 
     async def _serve_call(self, kind: int, number: int, body: bytes) -> None:
         try:
             response = await self._handle_call(body)
         except MarigoldchuteError as exc:
-            if kind == FrameKind.CALL and self.alive:
+            if kind == FrameKind.CALL and self.is_open:
                 failure = FAILURE_CODE.pack(exc.code) + exc.message.encode()
                 self.send_frame(FrameKind.FAILURE, number, failure)
             return
-        if kind == FrameKind.CALL and self.alive:
+        if kind == FrameKind.CALL and self.is_open:
             self.send_frame(FrameKind.RESPONSE, number, response)
 
     async def _handle_call(self, body: bytes) -> bytes:
--- a/marigoldchute/link/pool.py
+++ b/marigoldchute/link/pool.py
@@ -51,7 +51,7 @@
         self._retired_links: list[Link] = []
         self._nursery: trio.Nursery | None = None
 
-    def live(self, name: str) -> Link | None:
+    def find_open(self, name: str) -> Link | None:
         """Return an open link to a member that is not suspected, or None."""
         link = (
             self._find_shared_link(name) if self._find_shared_link is not None else None
@@ -59,7 +59,7 @@
         if link is not None:
             return link
         link = self._links.get(name)
-        if link is None or not link.alive or link.suspect:
+        if link is None or not link.is_open or link.is_suspected:
             return None
         self._last_used_at[name] = trio.current_time()
         return link
@@ -74,12 +74,12 @@
         AuthError
             The peer does not hold the shared secret.
         """
-        link = self.live(name)
+        link = self.find_open(name)
         if link is not None:
             return link
         lock = self._locks.setdefault(name, trio.Lock())
         async with lock:
-            link = self.live(name)
+            link = self.find_open(name)
             if link is not None:
                 return link
             return await self._open(name)
@@ -135,7 +135,7 @@
     def _retire(self, name: str) -> None:
         """Keep a replaced link open until its streams have closed."""
         link = self._links.pop(name, None)
-        if link is not None and link.alive:
+        if link is not None and link.is_open:
             self._retired_links.append(link)
 
     async def run(
@@ -153,10 +153,10 @@
         for link in self._retired_links:
             if link.stream_count == 0:
                 link.close()
-        self._retired_links = [link for link in self._retired_links if link.alive]
+        self._retired_links = [link for link in self._retired_links if link.is_open]
         for name, link in tuple(self._links.items()):
             is_idle = now - self._last_used_at.get(name, now) > IDLE_TIMEOUT_S
             if is_idle and link.stream_count == 0:
                 link.close()
-            if not link.alive:
+            if not link.is_open:
                 del self._links[name]
--- a/marigoldchute/link/stream.py
+++ b/marigoldchute/link/stream.py
@@ -140,7 +140,7 @@
         if self._error is not None:
             return
         self.fail(code, "stream was reset by this node")
-        if self.link.alive:
+        if self.link.is_open:
             body = _U32.pack(code)
             self.link.send_now(encode_frame(FrameKind.RESET, self.number, body))
 
--- a/marigoldchute/membership/exchange.py
+++ b/marigoldchute/membership/exchange.py
@@ -60,7 +60,7 @@
         self._rng = rng
         self._was_fenced = False
         self._last_tick_at = boottime_clock()
-        handlers.register(Method.GET_VIEW, self._handle_get_report)
+        handlers.register(Method.GET_CONTACT_REPORT, self._handle_get_report)
 
     async def run(self) -> None:
         """Request reports from neighbours and check the store until cancelled."""
@@ -127,7 +127,7 @@
     async def _request_report(self, link: Link) -> None:
         requested_at = boottime_clock()
         try:
-            body = await link.call(Method.GET_VIEW, b"", REPORT_TIMEOUT_S)
+            body = await link.call(Method.GET_CONTACT_REPORT, b"", REPORT_TIMEOUT_S)
             report = _REPORT.decode(body)
         except (PeerError, msgspec.DecodeError):
             return
--- a/marigoldchute/membership/service.py
+++ b/marigoldchute/membership/service.py
@@ -81,7 +81,7 @@
             data_centre=cfg.data_centre,
             region=cfg.region,
         )
-        table.validate(RecordKind.MEMBER, self._is_valid_record)
+        table.register_validator(RecordKind.MEMBER, self._is_valid_record)
         table.subscribe(RecordKind.MEMBER, self._apply_record)
         self._publish()
 
@@ -200,7 +200,7 @@
     def leave(self, now_ms: int) -> None:
         """Publish that this node stops and that its incarnation has ended."""
         self._leaving = True
-        self._table.offer(claim_record(self._local, MemberState.GONE, now_ms))
+        self._table.apply(claim_record(self._local, MemberState.GONE, now_ms))
 
     def publish_claim(
         self, member: Member, state: MemberState, reason: str, now_ms: int
@@ -218,7 +218,7 @@
         now_ms : int
             Wall-clock time in milliseconds since the epoch.
         """
-        if self._table.offer(claim_record(member, state, now_ms)):
+        if self._table.apply(claim_record(member, state, now_ms)):
             self._log.emit(
                 "membership",
                 "claim",
@@ -299,7 +299,7 @@
 
     def _publish(self) -> None:
         if not self._leaving:
-            self._table.offer(own_record(self._local))
+            self._table.apply(own_record(self._local))
 
     def _is_valid_record(self, record: Record) -> bool:
         try:
--- a/marigoldchute/moves/collector.py
+++ b/marigoldchute/moves/collector.py
@@ -56,8 +56,10 @@
         self._remote_summaries: dict[str, dict[str, MoveSummary]] = {}
         self._guidance: dict[str, CollectorResponse] = {}
         handlers.register(Method.REPORT_EVIDENCE, self._handle_report)
-        handlers.register(Method.LIST_CONFIRMATIONS, self._list_member_reports)
-        handlers.register(Method.LIST_STANDS, self._list_confirmation_digests)
+        handlers.register(Method.LIST_MEMBER_REPORTS, self._list_member_reports)
+        handlers.register(
+            Method.LIST_CONFIRMATION_DIGESTS, self._list_confirmation_digests
+        )
         handlers.register(Method.LIST_SUMMARIES, self._list_summaries)
 
     def apply_report(self, report: MemberReport, now_ms: int) -> None:
--- a/marigoldchute/moves/engine.py
+++ b/marigoldchute/moves/engine.py
@@ -259,12 +259,12 @@
             return
         node = self._members.local.name
         body = msgspec.msgpack.encode(Fault(move_id, node, reason, now_ms))
-        self._table.offer(Record(RecordKind.FAULT, move_id, (1, 0), body))
+        self._table.apply(Record(RecordKind.FAULT, move_id, (1, 0), body))
 
     def publish_verdict(self, verdict: Verdict) -> None:
         """Publish a verdict read from the store."""
         body = msgspec.msgpack.encode(verdict)
-        self._table.offer(Record(RecordKind.VERDICT, verdict.move_id, (1, 0), body))
+        self._table.apply(Record(RecordKind.VERDICT, verdict.move_id, (1, 0), body))
 
     def _log_share(self, state: MoveState) -> None:
         confirmed = ", confirmed" if state.confirmed else ""
--- a/marigoldchute/moves/reporter.py
+++ b/marigoldchute/moves/reporter.py
@@ -209,7 +209,7 @@
         if target == self._membership.local.name:
             digests = self._collector.confirmation_digests()
         else:
-            body = await self._call(target, Method.LIST_STANDS)
+            body = await self._call(target, Method.LIST_CONFIRMATION_DIGESTS)
             if body is None:
                 return
             digests = _CONFIRMATION_DIGESTS.decode(body)
@@ -224,7 +224,7 @@
             if target == self._membership.local.name:
                 reports = self._collector.reports()
             else:
-                body = await self._call(target, Method.LIST_CONFIRMATIONS)
+                body = await self._call(target, Method.LIST_MEMBER_REPORTS)
                 reports = [] if body is None else _REPORTS.decode(body)
             for report in reports:
                 existing = gathered.get(report.name)
--- a/marigoldchute/node.py
+++ b/marigoldchute/node.py
@@ -143,7 +143,7 @@
             self._clock,
             rng,
         )
-        handlers.stream = self._request_path.owner.serve
+        handlers.stream_handler = self._request_path.owner.serve
         service = AdminService(
             self._membership,
             self._in_force,
--- a/marigoldchute/orders/book.py
+++ b/marigoldchute/orders/book.py
@@ -65,14 +65,14 @@
         """Publish a state to all nodes; return whether it is the latest."""
         body = msgspec.msgpack.encode(state)
         rank = (state.number, state.step)
-        return self._table.offer(Record(RecordKind.ORDER, state.service, rank, body))
+        return self._table.apply(Record(RecordKind.ORDER, state.service, rank, body))
 
     def report_fault(self, state: OrderState, reason: str) -> None:
         """Publish to all nodes that an order's target is faulty."""
         record = Record(
             RecordKind.ORDER_FAULT, state.order_id, (state.number, 0), reason.encode()
         )
-        self._table.offer(record)
+        self._table.apply(record)
 
     def refresh(self) -> None:
         """Discard the cached splits after a change of members or orders."""
--- a/marigoldchute/overlay/overlay.py
+++ b/marigoldchute/overlay/overlay.py
@@ -83,19 +83,19 @@
         self._dialling: set[str] = set()
         self._nursery: trio.Nursery | None = None
         self._directory: PeerDirectory | None = None
-        self.on_neighbour: list[Callable[[Link], None]] = []
+        self.neighbour_listeners: list[Callable[[Link], None]] = []
         table.on_change(self._flood)
 
     def neighbours(self) -> list[Link]:
         """Return the open control links, one for each linked peer."""
-        return [item.link for item in self._neighbours.values() if item.link.alive]
+        return [item.link for item in self._neighbours.values() if item.link.is_open]
 
     def synced_neighbours(self) -> list[Link]:
         """Return the open control links over which records were compared."""
         return [
             item.link
             for item in self._neighbours.values()
-            if item.link.alive and item.is_synced
+            if item.link.is_open and item.is_synced
         ]
 
     def is_linked(self, name: str) -> bool:
@@ -108,7 +108,7 @@
         if neighbour is None:
             return None
         link = neighbour.link
-        return link if link.alive and not link.suspect else None
+        return link if link.is_open and not link.is_suspected else None
 
     def accept(self, link: Link) -> None:
         """Use a control link that a peer opened."""
@@ -159,8 +159,8 @@
             return
         for name, neighbour in self._neighbours.items():
             link = neighbour.link
-            is_idle = link.unused_s > UNWANTED_IDLE_S
-            if link.opened_here and name not in wanted and is_idle:
+            is_idle = link.idle_s > UNWANTED_IDLE_S
+            if link.is_initiator and name not in wanted and is_idle:
                 link.close()
 
     async def _dial(self, name: str, address: str, port: int) -> None:
@@ -195,7 +195,7 @@
         self._neighbours[peer.name] = neighbour
         assert self._directory is not None
         self._directory.link_up(peer.name, peer.incarnation, trio.current_time())
-        for listener in self.on_neighbour:
+        for listener in self.neighbour_listeners:
             listener(link)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._push_records, neighbour)
@@ -214,16 +214,16 @@
         lower name opened.
         """
         existing = self._neighbours.get(name)
-        if existing is None or not existing.link.alive:
+        if existing is None or not existing.link.is_open:
             return True
         old = existing.link
         simultaneous = (
-            old.opened_here != link.opened_here
+            old.is_initiator != link.is_initiator
             and old.age_s < SIMULTANEOUS_WINDOW_S
-            and not old.suspect
+            and not old.is_suspected
             and old.peer.incarnation == link.peer.incarnation
         )
-        lower_opened_old = old.opened_here == (self._name < name)
+        lower_opened_old = old.is_initiator == (self._name < name)
         if simultaneous and lower_opened_old:
             return False
         self._retire(old)
@@ -231,7 +231,7 @@
 
     def _retire(self, link: Link) -> None:
         """Close a replaced link once it is idle, or at once when it is suspected."""
-        if link.suspect:
+        if link.is_suspected:
             link.close()
         else:
             assert self._nursery is not None
@@ -256,7 +256,7 @@
         reachable = [
             item.link.peer
             for item in self._neighbours.values()
-            if item.link.alive and not item.link.suspect
+            if item.link.is_open and not item.link.is_suspected
         ]
         return self._flooding.targets(origin.link.peer if origin else None, reachable)
 
@@ -279,21 +279,23 @@
                 await self._repair.synchronize(neighbour.link)
                 neighbour.is_synced = True
             except PeerError:
-                if not neighbour.link.alive:
+                if not neighbour.link.is_open:
                     return
             await trio.sleep(ANTI_ENTROPY_INTERVAL_S * self._rng.uniform(0.5, 1.5))
 
     def _compares_with_region(self, region: str) -> bool:
         """Return whether a comparison with a neighbour of a region has started."""
         return any(
-            item.compare_started and item.link.alive and item.link.peer.region == region
+            item.compare_started
+            and item.link.is_open
+            and item.link.peer.region == region
             for item in self._neighbours.values()
         )
 
 
 async def _close_when_idle(link: Link) -> None:
     with trio.move_on_after(RETIRE_TIMEOUT_S):
-        while link.alive and link.unused_s < RETIRE_IDLE_S:
+        while link.is_open and link.idle_s < RETIRE_IDLE_S:
             await trio.sleep(RETIRE_POLL_INTERVAL_S)
     link.close()
 
--- a/marigoldchute/overlay/records.py
+++ b/marigoldchute/overlay/records.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-BUCKETS = 32
+NUM_BUCKETS = 32
 
 
 class RecordKind(enum.IntEnum):
@@ -75,12 +75,12 @@
 
     def __init__(self) -> None:
         self._records: dict[tuple[int, str], Record] = {}
-        self._digests = [0] * BUCKETS
+        self._digests = [0] * NUM_BUCKETS
         self._validators: dict[int, Validator] = {}
         self._listeners: dict[int, list[Listener]] = {}
         self._on_change: list[Callable[[Record, str], None]] = []
 
-    def validate(self, kind: RecordKind, validator: Validator) -> None:
+    def register_validator(self, kind: RecordKind, validator: Validator) -> None:
         """Reject records of a kind for which ``validator`` returns False."""
         self._validators[kind] = validator
 
@@ -92,7 +92,7 @@
         """Call ``listener`` with each newly stored record and its source peer."""
         self._on_change.append(listener)
 
-    def offer(self, record: Record, source: str = "") -> bool:
+    def apply(self, record: Record, source: str = "") -> bool:
         """Store a record if its rank is higher than that of the stored one.
 
         Parameters
@@ -136,10 +136,10 @@
             self._toggle_digest(stored)
 
     def digests(self) -> list[int]:
-        """Return the digest of each bucket, ``BUCKETS`` integers of 64 bits."""
+        """Return the digest of each bucket, ``NUM_BUCKETS`` integers of 64 bits."""
         return list(self._digests)
 
-    def ids_in(self, buckets: Iterable[int]) -> list[RecordId]:
+    def ids_in_buckets(self, buckets: Iterable[int]) -> list[RecordId]:
         """Return the identities of the records in some buckets."""
         selected = set(buckets)
         return [
@@ -176,7 +176,8 @@
 def bucket_of(kind: int, key: str) -> int:
     """Return the bucket of a record's kind and key."""
     return (
-        hashlib.blake2b(f"{kind}/{key}".encode(), digest_size=1).digest()[0] % BUCKETS
+        hashlib.blake2b(f"{kind}/{key}".encode(), digest_size=1).digest()[0]
+        % NUM_BUCKETS
     )
 
 
--- a/marigoldchute/overlay/repair.py
+++ b/marigoldchute/overlay/repair.py
@@ -8,7 +8,7 @@
 
 from marigoldchute.errors import PeerError, ResultCode
 from marigoldchute.link.methods import Method
-from marigoldchute.overlay.records import BUCKETS, Record, RecordId
+from marigoldchute.overlay.records import NUM_BUCKETS, Record, RecordId
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
@@ -91,11 +91,11 @@
             more = await self._pull(link, buckets)
 
     async def _pull(self, link: Link, buckets: list[int]) -> bool:
-        difference = Difference(buckets, self._table.ids_in(buckets))
+        difference = Difference(buckets, self._table.ids_in_buckets(buckets))
         body = msgspec.msgpack.encode(difference)
         response = await link.call(Method.PULL_RECORDS, body, CALL_TIMEOUT_S)
         result = _decode(_PULL_RESPONSE, response)
-        stored = [self._table.offer(item, link.peer.name) for item in result.records]
+        stored = [self._table.apply(item, link.peer.name) for item in result.records]
         missing_ids = {(item.kind, item.key) for item in result.missing}
         push(
             link,
@@ -109,12 +109,12 @@
 
     async def _handle_push(self, link: Link, body: bytes) -> bytes:
         for record in _decode(_RECORDS, body):
-            self._table.offer(record, link.peer.name)
+            self._table.apply(record, link.peer.name)
         return b""
 
     async def _handle_compare(self, link: Link, body: bytes) -> bytes:
         theirs = _decode(_DIGESTS, body)
-        if len(theirs) != BUCKETS:
+        if len(theirs) != NUM_BUCKETS:
             raise PeerError("unexpected number of digests", ResultCode.PEER_PROTOCOL)
         ours = self._table.digests()
         differing = [i for i, digest in enumerate(ours) if theirs[i] != digest]
@@ -129,7 +129,7 @@
         more = next(batches, None) is not None
         ours = {
             (item.kind, item.key): item.rank
-            for item in self._table.ids_in(difference.buckets)
+            for item in self._table.ids_in_buckets(difference.buckets)
         }
         missing = [
             item
--- a/marigoldchute/routing/dispatch.py
+++ b/marigoldchute/routing/dispatch.py
@@ -126,7 +126,7 @@
     async def _attempt_remote(
         self, call: Call, target: Target, head: RequestHead
     ) -> None:
-        link = self._traffic.live(target.member.name)
+        link = self._traffic.find_open(target.member.name)
         if link is None:
             link = await self._open_link(target)
         body = call.body.pop_complete_body()
@@ -153,7 +153,7 @@
             stream.reset(ResultCode.REQUEST_CANCELLED)
             raise
         finally:
-            link.forget_stream(stream)
+            link.remove_stream(stream)
             now = trio.current_time()
             self._chooser.charge_link(target, call.link_bytes, now)
 
--- a/tests/test_distribution/test_fetch.py
+++ b/tests/test_distribution/test_fetch.py
@@ -188,7 +188,7 @@
             cache.add(digest, chunk)
         handler = handlers.find(Method.GET_CHUNK)
         assert handler is not None
-        link: Any = types.SimpleNamespace(alive=True, pending_bytes=1)
+        link: Any = types.SimpleNamespace(is_open=True, pending_bytes=1)
         codes: list[ResultCode] = []
 
         async def request_chunk() -> None:
--- a/tests/test_distribution/test_replicator.py
+++ b/tests/test_distribution/test_replicator.py
@@ -82,7 +82,9 @@
         membership: Any = types.SimpleNamespace(
             local=local, duties=duties, all=lambda: ()
         )
-        overlay: Any = types.SimpleNamespace(neighbours=lambda: [], on_neighbour=[])
+        overlay: Any = types.SimpleNamespace(
+            neighbours=lambda: [], neighbour_listeners=[]
+        )
         store: Any = self.store
         log: Any = self.log
         self.replicator = Replicator(
@@ -111,7 +113,7 @@
             self.store.chunks[chunk_key(digest)] = chunk
         rank = (manifest.version, 0)
         body = encode_manifest(manifest)
-        self.table.offer(Record(RecordKind.BUNDLE, HEAD_KEY, rank, body))
+        self.table.apply(Record(RecordKind.BUNDLE, HEAD_KEY, rank, body))
 
 
 def _content(version: int, kind: str) -> BundleContent:
--- a/tests/test_hosted/test_directory.py
+++ b/tests/test_hosted/test_directory.py
@@ -29,7 +29,7 @@
 def replicate(source: RecordTable, *targets: RecordTable) -> None:
     for record in source.of_kind(RecordKind.MEMBER):
         for target in targets:
-            target.offer(record, "peer")
+            target.apply(record, "peer")
 
 
 class ViewTest(unittest.TestCase):
--- a/tests/test_hosted/test_registry.py
+++ b/tests/test_hosted/test_registry.py
@@ -104,7 +104,7 @@
         self.apply_reports(make_report(1))
         self.assertEqual(self.accepting(), ["i-1"])
         for record in old_table.of_kind(RecordKind.LEAVING):
-            self.table.offer(record, "peer")
+            self.table.apply(record, "peer")
         self.assertEqual(self.accepting(), [])
 
 
@@ -117,7 +117,7 @@
         successor = self.make_registry(self.table)
         for kind in (RecordKind.VM_SERVER, RecordKind.LEAVING):
             for record in old_table.of_kind(kind):
-                self.table.offer(record, "peer")
+                self.table.apply(record, "peer")
         return successor
 
     def test_adopted_server_is_used_before_its_report(self) -> None:
@@ -148,7 +148,7 @@
         successor = self.make_registry(self.table)
         successor.handle_report(make_report(1, "i-2", 9_000), 0.0, 0)
         for record in old_table.of_kind(RecordKind.VM_SERVER):
-            self.table.offer(record, "peer")
+            self.table.apply(record, "peer")
         self.assertEqual(self.accepting(), ["i-2"])
 
 
@@ -174,7 +174,7 @@
         self.registry = self.make_registry(self.table)
         self.registry.handle_deregistration("i-1", 2_000)
         for record in peer.of_kind(RecordKind.VM_SERVER):
-            self.table.offer(record, "peer")
+            self.table.apply(record, "peer")
 
     def test_server_that_left_is_not_adopted(self) -> None:
         self.restart()
--- a/tests/test_hosted/test_relay.py
+++ b/tests/test_hosted/test_relay.py
@@ -33,7 +33,7 @@
 class FakeLink:
     """One end of a link between two nodes."""
 
-    alive = True
+    is_open = True
 
     def __init__(self, peer: Node, reverse: FakeLink | None = None) -> None:
         self.peer = types.SimpleNamespace(name=peer.name)
@@ -69,7 +69,7 @@
         self.catalog = Catalog(InForce(), EventSink())  # type: ignore[arg-type]
         self._handlers = Handlers()
         overlay: Any = types.SimpleNamespace(
-            on_neighbour=[], neighbours=lambda: self.links
+            neighbour_listeners=[], neighbours=lambda: self.links
         )
         log: Any = EventSink()
         self.relay = BundleRelay(
--- a/tests/test_link/test_malformed.py
+++ b/tests/test_link/test_malformed.py
@@ -43,7 +43,7 @@
     handlers = Handlers()
     for method in range(4):
         handlers.register(method, _decode_and_encode)
-    handlers.stream = _read_stream
+    handlers.stream_handler = _read_stream
     return handlers
 
 
@@ -82,7 +82,7 @@
                     break
                 await trio.testing.wait_all_tasks_blocked()
             await theirs.aclose()
-        self.assertFalse(link.alive)
+        self.assertFalse(link.is_open)
 
     @settings(derandomize=True, max_examples=200)
     @given(st.lists(st.binary(max_size=20), max_size=10))
--- a/tests/test_membership/test_records.py
+++ b/tests/test_membership/test_records.py
@@ -57,7 +57,7 @@
             table = RecordTable()
             membership = _membership(table)
             for record in arrival_order:
-                table.offer(record)
+                table.apply(record)
             member = membership.get_recorded("b")
             assert member is not None
             results.append((member.incarnation, member.sequence, member.state))
@@ -70,21 +70,21 @@
     def test_gone_member_returns_only_with_a_later_incarnation(self) -> None:
         table = RecordTable()
         membership = _membership(table)
-        table.offer(claim_record(MEMBER, MemberState.GONE, wall_clock_ms()))
+        table.apply(claim_record(MEMBER, MemberState.GONE, wall_clock_ms()))
         same_incarnation = dataclasses.replace(MEMBER, sequence=9)
-        self.assertFalse(table.offer(own_record(same_incarnation)))
+        self.assertFalse(table.apply(own_record(same_incarnation)))
         self.assertEqual([m.name for m in membership.all()], ["a"])
         later_incarnation = dataclasses.replace(MEMBER, incarnation=6, sequence=0)
-        self.assertTrue(table.offer(own_record(later_incarnation)))
+        self.assertTrue(table.apply(own_record(later_incarnation)))
         self.assertEqual(len(membership.all()), 2)
 
     def test_next_sequence_outranks_a_claim_of_unreachability(self) -> None:
         table = RecordTable()
         membership = _membership(table)
-        table.offer(own_record(MEMBER))
-        table.offer(claim_record(MEMBER, MemberState.UNREACHABLE, 0))
+        table.apply(own_record(MEMBER))
+        table.apply(claim_record(MEMBER, MemberState.UNREACHABLE, 0))
         refutation = dataclasses.replace(MEMBER, sequence=2)
-        self.assertTrue(table.offer(own_record(refutation)))
+        self.assertTrue(table.apply(own_record(refutation)))
         member = membership.get("b")
         assert member is not None
         self.assertIs(member.state, MemberState.ALIVE)
@@ -93,18 +93,18 @@
         table = RecordTable()
         membership = _membership(table)
         now_ms = wall_clock_ms()
-        table.offer(claim_record(MEMBER, MemberState.GONE, now_ms))
+        table.apply(claim_record(MEMBER, MemberState.GONE, now_ms))
         membership.expire_tombstones(now_ms + TOMBSTONE_TTL_MS)
         self.assertIsNotNone(table.get(RecordKind.MEMBER, "b"))
         membership.expire_tombstones(now_ms + TOMBSTONE_TTL_MS + 1)
         self.assertIsNone(table.get(RecordKind.MEMBER, "b"))
         expired = claim_record(MEMBER, MemberState.GONE, now_ms - TOMBSTONE_TTL_MS - 1)
-        self.assertFalse(table.offer(expired))
+        self.assertFalse(table.apply(expired))
 
     def test_unreachable_data_centre_is_listed_without_new_records(self) -> None:
         table = RecordTable()
         membership = _membership(table)
-        table.offer(own_record(dataclasses.replace(MEMBER, data_centre="other")))
+        table.apply(own_record(dataclasses.replace(MEMBER, data_centre="other")))
         digests = table.digests()
         membership.set_unreachable_data_centres(frozenset({"other"}))
         member = membership.get("b")
@@ -122,7 +122,7 @@
         other = dataclasses.replace(
             membership.local, incarnation=11, address="127.0.0.9"
         )
-        table.offer(own_record(other))
+        table.apply(own_record(other))
         self.assertTrue(membership.fenced)
         self.assertEqual(membership.local.incarnation, 10)
 
@@ -130,5 +130,5 @@
         table = RecordTable()
         membership = _membership(table)
         earlier = dataclasses.replace(membership.local, incarnation=10**15)
-        table.offer(own_record(earlier))
+        table.apply(own_record(earlier))
         self.assertGreater(membership.local.incarnation, 10**15)
--- a/tests/test_overlay/test_overlay.py
+++ b/tests/test_overlay/test_overlay.py
@@ -28,9 +28,9 @@
 class FakeLink:
     """Link that this node opened."""
 
-    opened_here = True
-    suspect = False
-    unused_s = 0.0
+    is_initiator = True
+    is_suspected = False
+    idle_s = 0.0
     age_s = 0.0
 
     def __init__(self, name: str) -> None:
@@ -38,7 +38,7 @@
         self.closed = trio.Event()
 
     @property
-    def alive(self) -> bool:
+    def is_open(self) -> bool:
         return not self.closed.is_set()
 
     def close(self) -> None:
@@ -99,11 +99,11 @@
                 busy = endpoint.links["vm-3"]
                 directory.names = {"vm-2"}
                 await trio.sleep(4 * UNWANTED_IDLE_S)
-                self.assertTrue(busy.alive)
-                busy.unused_s = UNWANTED_IDLE_S + 1
+                self.assertTrue(busy.is_open)
+                busy.idle_s = UNWANTED_IDLE_S + 1
                 await trio.sleep(2)
-                self.assertFalse(busy.alive)
-                self.assertTrue(endpoint.links["vm-2"].alive)
+                self.assertFalse(busy.is_open)
+                self.assertTrue(endpoint.links["vm-2"].is_open)
                 nursery.cancel_scope.cancel()
 
         trio.run(main, clock=MockClock(autojump_threshold=0))
@@ -118,7 +118,7 @@
     def setUp(self) -> None:
         self.endpoint: Any = FakeEndpoint()
         self.accepted: Any = FakeLink("vm-2")
-        self.accepted.opened_here = False
+        self.accepted.is_initiator = False
 
     def run_overlay(self, accept: Callable[[Overlay], Awaitable[None]]) -> None:
         """Open a link to a peer, then call ``accept`` to add a link of the peer."""
@@ -137,10 +137,10 @@
 
     async def check_closed_when_idle(self, link: FakeLink) -> None:
         """Check that a link stays open until it has been idle for some time."""
-        self.assertTrue(link.alive)
-        link.unused_s = RETIRE_IDLE_S + 1
+        self.assertTrue(link.is_open)
+        link.idle_s = RETIRE_IDLE_S + 1
         await trio.sleep(1)
-        self.assertFalse(link.alive)
+        self.assertFalse(link.is_open)
 
     def test_rejected_simultaneous_link_is_closed_only_when_idle(self) -> None:
         async def accept(overlay: Overlay) -> None:
--- a/tests/test_overlay/test_records.py
+++ b/tests/test_overlay/test_records.py
@@ -18,26 +18,26 @@
 class RecordTableTest(unittest.TestCase):
     def test_record_with_lower_rank_is_rejected(self) -> None:
         table = RecordTable()
-        self.assertTrue(table.offer(_make_record("a", 2)))
-        self.assertFalse(table.offer(_make_record("a", 1)))
+        self.assertTrue(table.apply(_make_record("a", 2)))
+        self.assertFalse(table.apply(_make_record("a", 1)))
         self.assertEqual(table.get(RecordKind.MEMBER, "a"), _make_record("a", 2))
 
     def test_record_rejected_by_validator_is_not_stored(self) -> None:
         table = RecordTable()
-        table.validate(RecordKind.MEMBER, lambda record: record.key != "bad")
-        self.assertFalse(table.offer(_make_record("bad", 1)))
+        table.register_validator(RecordKind.MEMBER, lambda record: record.key != "bad")
+        self.assertFalse(table.apply(_make_record("bad", 1)))
         self.assertIsNone(table.get(RecordKind.MEMBER, "bad"))
 
     def test_newer_than_returns_records_missing_in_the_other_table(self) -> None:
         ours, theirs = RecordTable(), RecordTable()
-        ours.offer(_make_record("a", 1))
-        theirs.offer(_make_record("b", 1))
+        ours.apply(_make_record("a", 1))
+        theirs.apply(_make_record("b", 1))
         buckets = [
             i
             for i, pair in enumerate(zip(ours.digests(), theirs.digests(), strict=True))
             if pair[0] != pair[1]
         ]
-        newer = theirs.newer_than(ours.ids_in(buckets), buckets)
+        newer = theirs.newer_than(ours.ids_in_buckets(buckets), buckets)
         self.assertEqual(newer, [_make_record("b", 1)])
 
     @settings(derandomize=True, max_examples=100)
@@ -52,7 +52,7 @@
         shuffled = list(updates)
         random.Random(seed).shuffle(shuffled)
         for key, rank in updates:
-            first.offer(_make_record(key, rank))
+            first.apply(_make_record(key, rank))
         for key, rank in shuffled + shuffled:
-            second.offer(_make_record(key, rank))
+            second.apply(_make_record(key, rank))
         self.assertEqual(first.digests(), second.digests())
--- a/tests/test_overlay/test_repair.py
+++ b/tests/test_overlay/test_repair.py
@@ -81,16 +81,16 @@
     def test_equal_tables_exchange_digests_only(self) -> None:
         ours, theirs = _Node(), _Node()
         for i in range(MEMBERS):
-            ours.table.offer(_make_record(str(i), 1))
-            theirs.table.offer(_make_record(str(i), 1))
+            ours.table.apply(_make_record(str(i), 1))
+            theirs.table.apply(_make_record(str(i), 1))
         link = _synchronize(ours, theirs)
         self.assertLess(link.bytes_sent + link.bytes_received, 400)
 
     def test_one_difference_costs_one_bucket_of_identities_and_one_body(self) -> None:
         ours, theirs = _Node(), _Node()
         for i in range(MEMBERS):
-            ours.table.offer(_make_record(str(i), 1))
-            theirs.table.offer(_make_record(str(i), 1 + (i == 5)))
+            ours.table.apply(_make_record(str(i), 1))
+            theirs.table.apply(_make_record(str(i), 1 + (i == 5)))
         link = _synchronize(ours, theirs)
         self.assertEqual(ours.table.digests(), theirs.table.digests())
         self.assertLess(link.bytes_sent + link.bytes_received, 2000)
@@ -98,7 +98,7 @@
     def test_joining_node_receives_all_records_in_bounded_batches(self) -> None:
         ours, theirs = _Node(), _Node()
         for i in range(MEMBERS):
-            theirs.table.offer(_make_record(str(i), 1))
+            theirs.table.apply(_make_record(str(i), 1))
         link = _synchronize(ours, theirs)
         self.assertEqual(ours.table.digests(), theirs.table.digests())
         self.assertLess(link.largest_message, 2 * MAX_BATCH_BYTES)
@@ -122,6 +122,6 @@
         ours, theirs = _Node(), _Node()
         rng = random.Random(seed)
         for key, rank in updates:
-            rng.choice((ours, theirs)).table.offer(_make_record(str(key), rank))
+            rng.choice((ours, theirs)).table.apply(_make_record(str(key), rank))
         _synchronize(ours, theirs)
         self.assertEqual(ours.table.digests(), theirs.table.digests())
