--- a/bench/bench_distribution.py
+++ b/bench/bench_distribution.py
@@ -19,7 +19,7 @@
 
 import trio
 
-from marigoldchute.admin.messages import RollOrder
+from marigoldchute.admin.messages import RollRequest
 from marigoldchute.bundle.codec import chunk_digest, encode_manifest, split_content
 from marigoldchute.bundle.model import BundleContent, Route, Service
 from marigoldchute.bundle.signing import sign_manifest
@@ -128,7 +128,7 @@
         for vm in self.mesh.plan.vms:
             self.mesh.start_node(vm.name)
         await self._wait_linked()
-        await self.mesh.set_faults(*_delays())
+        await self.mesh.set_proxy_rules(*_delays())
         await self._roll(1)
         await trio.sleep(LINKS_SETTLE_S)
         idle = await self._idle()
@@ -137,7 +137,7 @@
             await self._roll(version)
         await trio.sleep(SETTLE_S)
         after = await self._counters()
-        calls = await self.mesh.store_calls()
+        calls = await self.mesh.store_call_counts()
         return self._figures(idle, before, after, calls)
 
     async def _wait_linked(self) -> None:
@@ -153,7 +153,7 @@
         manifest = sign_manifest(
             version, digests, "ops-1", self.mesh.private_key, "bench", f"t{version}"
         )
-        order = RollOrder(encode_manifest(manifest), tuple(chunks))
+        order = RollRequest(encode_manifest(manifest), tuple(chunks))
         vms = self.mesh.plan.vms
         node = vms[version % len(vms)].name
         self.sent_ms[version] = time.time_ns() // 1_000_000
@@ -176,7 +176,7 @@
 
     async def _counters(self) -> Counters:
         counts = await self.mesh.byte_counts()
-        calls = await self.mesh.store_calls()
+        calls = await self.mesh.store_call_counts()
         region = [c.bytes for c in counts if c.source_region != c.target_region]
         total = sum(c.bytes for c in counts)
         return Counters(
--- a/bench/bench_moves.py
+++ b/bench/bench_moves.py
@@ -262,9 +262,9 @@
             await trio.sleep(8)
             await self.mesh.set_store_faults(StoreFaults())
         elif self.run.trouble:
-            await self.mesh.set_faults(Rule("limon-patio", "*", Action.DROP))
+            await self.mesh.set_proxy_rules(Rule("limon-patio", "*", Action.DROP))
             await trio.sleep(5)
-            await self.mesh.set_faults()
+            await self.mesh.set_proxy_rules()
 
     async def _control_bytes(self) -> int:
         total = 0
--- a/bench/bench_path.py
+++ b/bench/bench_path.py
@@ -25,8 +25,8 @@
 
 from marigoldchute.standins.backend import BackendSettings
 from marigoldchute.standins.load import (
-    HIGHEST_US,
-    LOWEST_US,
+    MAX_LATENCY_US,
+    MIN_LATENCY_US,
     SIGNIFICANT_DIGITS,
     LoadPlan,
     LoadResult,
@@ -66,7 +66,9 @@
     port: int
     path: str
     histogram: HdrHistogram = dataclasses.field(
-        default_factory=lambda: HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+        default_factory=lambda: HdrHistogram(
+            MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
+        )
     )
     calls: int = 0
     results: dict[str, int] = dataclasses.field(default_factory=dict)
--- a/bench/bench_scale.py
+++ b/bench/bench_scale.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from marigoldchute.config import NodeSettings, StoreSettings
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.membership.model import BackendServer, Member
 from marigoldchute.membership.service import Membership
 from marigoldchute.overlay.records import NUM_BUCKETS, Record, RecordKind, RecordTable
@@ -103,7 +103,7 @@
     """Measure one number of members."""
     tracemalloc.start()
     table = RecordTable()
-    membership = Membership(_settings(), 1, table, EventSink())  # type: ignore[arg-type]
+    membership = Membership(_settings(), 1, table, MemoryEventLog())  # type: ignore[arg-type]
     for number in range(1, size):
         member = _member(number)
         body = msgspec.msgpack.encode(member)
--- a/bench/fault_run.py
+++ b/bench/fault_run.py
@@ -128,7 +128,7 @@
                     vm = self._call_rng.choice(self._mesh.plan.vms)
                     callers.start_soon(self._call, vm.address, f"call-{number}")
             nursery.cancel_scope.cancel()
-        await self._mesh.set_faults()
+        await self._mesh.set_proxy_rules()
 
     async def _call(self, address: str, key: str) -> None:
         size = self._call_rng.randrange(1, 3000)
@@ -206,9 +206,9 @@
         await self._apply(Rule(self._vm(), "*", Action.DROP, both_ways=False))
 
     async def _apply(self, rule: Rule) -> None:
-        await self._mesh.set_faults(rule)
+        await self._mesh.set_proxy_rules(rule)
         await trio.sleep(FAULT_S)
-        await self._mesh.set_faults()
+        await self._mesh.set_proxy_rules()
 
     async def _misbehave(self) -> None:
         name = self._rng.choice(self._serving).name
--- a/marigoldchute/admin/app.py
+++ b/marigoldchute/admin/app.py
@@ -16,11 +16,11 @@
     UnknownPathError,
     http_status_of,
 )
-from marigoldchute.admin.messages import Failure, Health, RollOrder
+from marigoldchute.admin.messages import Failure, Health, RollRequest
 from marigoldchute.admin.metrics import render_metrics
 from marigoldchute.errors import AuthError, BundleError, MarigoldchuteError, ResultCode
 from marigoldchute.events import wall_clock_ms
-from marigoldchute.util.asgi import Receive, answer, read_body, serve_lifespan
+from marigoldchute.util.asgi import Receive, read_body, send_response, serve_lifespan
 
 if TYPE_CHECKING:
     from marigoldchute.admin.service import AdminService
@@ -124,9 +124,11 @@
         except MarigoldchuteError as exc:
             failure = Failure(exc.code.value, exc.code.name, exc.message)
             body = msgspec.json.encode(failure)
-            await answer(send, http_status_of(exc), body, headers=_error_headers(exc))
+            await send_response(
+                send, http_status_of(exc), body, headers=_error_headers(exc)
+            )
             return
-        await answer(send, 200, response.body, response.content_type)
+        await send_response(send, 200, response.body, response.content_type)
 
     async def _dispatch(self, scope: Scope, receive: Receive) -> ApiResponse:
         endpoint = self._find_endpoint(scope["method"], scope["path"])
@@ -220,7 +222,7 @@
     return author or "unknown"
 
 
-async def _read_roll_request(receive: Receive) -> RollOrder:
+async def _read_roll_request(receive: Receive) -> RollRequest:
     body = await read_body(receive, MAX_ROLL_REQUEST_BYTES)
     if body is None:
         raise BundleError(
@@ -228,6 +230,6 @@
             ResultCode.BUNDLE_TOO_LARGE,
         )
     try:
-        return msgspec.json.decode(body, type=RollOrder)
+        return msgspec.json.decode(body, type=RollRequest)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise BundleError(f"roll request is malformed: {exc}") from exc
--- a/marigoldchute/admin/client.py
+++ b/marigoldchute/admin/client.py
@@ -11,7 +11,7 @@
 from marigoldchute.admin.messages import (
     Failure,
     MoveStatus,
-    RollOrder,
+    RollRequest,
     RollResult,
     Status,
 )
@@ -47,7 +47,7 @@
         """Return the resource usage of the node."""
         return await self._call("GET", "/v1/stats", b"", NodeStats)
 
-    async def roll(self, request: RollOrder) -> RollResult:
+    async def roll(self, request: RollRequest) -> RollResult:
         """Submit a signed bundle for rollout."""
         body = msgspec.json.encode(request)
         return await self._call("POST", "/v1/bundles", body, RollResult)
--- a/marigoldchute/admin/messages.py
+++ b/marigoldchute/admin/messages.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class RollOrder:
+class RollRequest:
     """Request to bring a signed bundle into force.
 
     Parameters
--- a/marigoldchute/admin/service.py
+++ b/marigoldchute/admin/service.py
@@ -11,7 +11,7 @@
     MemberStatus,
     MoveStatus,
     Readiness,
-    RollOrder,
+    RollRequest,
     RollResult,
     Status,
 )
@@ -66,7 +66,7 @@
         self.stats = stats
         self._collect_counts = counts
 
-    async def roll(self, request: RollOrder) -> RollResult:
+    async def roll(self, request: RollRequest) -> RollResult:
         """Validate a signed bundle and write it to the store.
 
         Raises
--- a/marigoldchute/bundle/inforce.py
+++ b/marigoldchute/bundle/inforce.py
@@ -31,7 +31,7 @@
         """Version in force, 0 before the first one."""
         return self._bundle.version if self._bundle is not None else 0
 
-    def on_swap(self, listener: SwapListener) -> None:
+    def add_swap_listener(self, listener: SwapListener) -> None:
         """Register a listener that is called with each bundle that comes into force."""
         self._listeners.append(listener)
 
--- a/marigoldchute/bundle/signing.py
+++ b/marigoldchute/bundle/signing.py
@@ -27,7 +27,7 @@
     return base64.b64encode(Ed25519PrivateKey.generate().private_bytes_raw()).decode()
 
 
-def public_key_of(private_key: str) -> str:
+def derive_public_key(private_key: str) -> str:
     """Return the public key of a private key, both in base64."""
     key = Ed25519PrivateKey.from_private_bytes(_decode_key(private_key))
     return base64.b64encode(key.public_key().public_bytes_raw()).decode()
--- a/marigoldchute/bundle/signoff.py
+++ b/marigoldchute/bundle/signoff.py
@@ -6,10 +6,10 @@
 import secrets
 from typing import Any
 
-from marigoldchute.admin.messages import RollOrder
+from marigoldchute.admin.messages import RollRequest
 from marigoldchute.bundle.codec import chunk_digest, encode_manifest, split_content
 from marigoldchute.bundle.model import BundleContent
-from marigoldchute.bundle.signing import public_key_of, sign_manifest
+from marigoldchute.bundle.signing import derive_public_key, sign_manifest
 from marigoldchute.bundle.source import build_content, parse_source
 from marigoldchute.bundle.validation import validate_content
 from marigoldchute.errors import BundleError, MarigoldchuteError, SettingsError
@@ -53,7 +53,7 @@
     except ConversionError as exc:
         raise SettingsError(f"{source}: {exc}") from exc
     try:
-        public_key = public_key_of(key.private_key)
+        public_key = derive_public_key(key.private_key)
     except SettingsError as exc:
         raise SettingsError(f"{source}: $.private_key: {exc.message}") from exc
     if public_key != key.public_key:
@@ -61,7 +61,7 @@
     return key
 
 
-def content_of_file(
+def parse_bundle_content(
     value: Any, source: str, now_ms: int, complete_within_ms: int | None = None
 ) -> BundleContent:
     """Return the validated content of an operator's source file or a built file.
@@ -100,7 +100,7 @@
 
 def sign_content(
     content: BundleContent, version: int, key: KeyFile, author: str
-) -> RollOrder:
+) -> RollRequest:
     """Sign content as a version and return the roll order for a node."""
     chunks = split_content(content)
     manifest = sign_manifest(
@@ -111,15 +111,15 @@
         author,
         secrets.token_hex(8),
     )
-    return RollOrder(encode_manifest(manifest), tuple(chunks))
+    return RollRequest(encode_manifest(manifest), tuple(chunks))
 
 
-def is_signed_file(value: Any) -> bool:
+def is_signed_bundle(value: Any) -> bool:
     """Return whether a decoded file is a signed bundle."""
     return isinstance(value, dict) and "manifest" in value
 
 
-def parse_signed(value: Any, source: str) -> RollOrder:
+def parse_signed_bundle(value: Any, source: str) -> RollRequest:
     """Convert and check a decoded signed bundle.
 
     Raises
@@ -128,6 +128,6 @@
         The file is not a signed bundle.
     """
     try:
-        return convert(value, RollOrder)
+        return convert(value, RollRequest)
     except ConversionError as exc:
         raise BundleError(f"{source}: {exc}") from exc
--- a/marigoldchute/cmd/_bundle_commands.py
+++ b/marigoldchute/cmd/_bundle_commands.py
@@ -10,11 +10,11 @@
 import cappa
 import msgspec
 
-from marigoldchute.bundle.signing import generate_private_key, public_key_of
+from marigoldchute.bundle.signing import derive_public_key, generate_private_key
 from marigoldchute.bundle.signoff import (
     BuiltBundle,
     KeyFile,
-    content_of_file,
+    parse_bundle_content,
     parse_key_file,
     sign_content,
 )
@@ -109,7 +109,7 @@
     def __call__(self) -> int:
         """Create the key and write it to the output."""
         private_key = generate_private_key()
-        key = KeyFile(self.key_id, private_key, public_key_of(private_key))
+        key = KeyFile(self.key_id, private_key, derive_public_key(private_key))
         try:
             write_output(key, self.out, KEY_FILE_PERMISSIONS)
         except MarigoldchuteError as exc:
@@ -139,7 +139,7 @@
         """Validate the file and print a summary."""
         try:
             value = load_file(self.bundle)
-            content = content_of_file(value, self.bundle, wall_clock_ms())
+            content = parse_bundle_content(value, self.bundle, wall_clock_ms())
         except MarigoldchuteError as exc:
             return report_error(exc)
         print(
@@ -161,7 +161,7 @@
     def __call__(self) -> int:
         """Build the content and write it to the output."""
         try:
-            content = content_of_file(
+            content = parse_bundle_content(
                 load_file(self.bundle),
                 self.bundle,
                 wall_clock_ms(),
@@ -196,7 +196,7 @@
         try:
             key = load_key(self.key)
             value = load_file(self.bundle)
-            content = content_of_file(
+            content = parse_bundle_content(
                 value, self.bundle, wall_clock_ms(), self.complete_within_ms
             )
             if self.version < 1:
--- a/marigoldchute/cmd/_mesh_commands.py
+++ b/marigoldchute/cmd/_mesh_commands.py
@@ -11,9 +11,9 @@
 import trio
 
 from marigoldchute.bundle.signoff import (
-    content_of_file,
-    is_signed_file,
-    parse_signed,
+    is_signed_bundle,
+    parse_bundle_content,
+    parse_signed_bundle,
     sign_content,
 )
 from marigoldchute.cmd._bundle_commands import (
@@ -65,12 +65,12 @@
     async def _roll(self) -> int:
         value = load_file(self.bundle)
         client = self.connection.client()
-        if is_signed_file(value):
+        if is_signed_bundle(value):
             self._reject_complete_within_ms()
-            roll_order = parse_signed(value, self.bundle)
+            roll_order = parse_signed_bundle(value, self.bundle)
         else:
             key = load_key(self.key)
-            content = content_of_file(
+            content = parse_bundle_content(
                 value, self.bundle, wall_clock_ms(), self.complete_within_ms
             )
             version = (await client.status()).newest_version + 1
--- a/marigoldchute/distribution/holders.py
+++ b/marigoldchute/distribution/holders.py
@@ -38,7 +38,7 @@
         self._in_force = in_force
         self._on_change = on_change
         self._versions: dict[str, int] = {}
-        in_force.on_swap(lambda bundle: self._notify_all())
+        in_force.add_swap_listener(lambda bundle: self._notify_all())
         overlay.neighbour_listeners.append(self._notify)
         handlers.register(Method.ANNOUNCE_VERSION, self._handle_have_version)
 
--- a/marigoldchute/distribution/rollout.py
+++ b/marigoldchute/distribution/rollout.py
@@ -172,19 +172,19 @@
         created = await create_once(
             self._store, chunk_key(digest), chunk, lambda value: value == chunk
         )
-        if not created.is_mine:
+        if not created.is_own:
             raise BundleError(
                 f"chunk {digest[:12]} in the store does not match its digest",
                 ResultCode.BUNDLE_DIGEST_MISMATCH,
             )
 
     async def _write_manifest(self, manifest: Manifest, body: bytes) -> None:
-        def is_mine(value: bytes) -> bool:
+        def is_own(value: bytes) -> bool:
             return decode_manifest(value).token == manifest.token
 
         key = bundle_key(manifest.version)
-        created = await create_once(self._store, key, body, is_mine)
-        if not created.is_mine:
+        created = await create_once(self._store, key, body, is_own)
+        if not created.is_own:
             raise _version_taken_error(manifest.version, decode_manifest(created.value))
 
     async def _prune(self, version: int) -> None:
--- a/marigoldchute/events.py
+++ b/marigoldchute/events.py
@@ -9,7 +9,7 @@
 
 import eliot
 
-from marigoldchute.util.lineout import LineOut
+from marigoldchute.util.lineout import LineWriter
 
 COUNTER_BITS = 20
 
@@ -94,7 +94,7 @@
         self.process = process
         self.clock = clock if clock is not None else HybridClock()
         self._logger = eliot.Logger()
-        self.line_out = None if out is not None else LineOut(sys.stdout.fileno())
+        self.line_out = None if out is not None else LineWriter(sys.stdout.fileno())
         eliot.to_file(out if out is not None else self.line_out)  # type: ignore[arg-type]
 
     def emit(self, part: str, event: str, text: str, **fields: object) -> None:
@@ -122,7 +122,7 @@
         )
 
 
-class EventSink:
+class MemoryEventLog:
     """Event log that stores events in memory, for components without a process."""
 
     def __init__(self, process: str = "") -> None:
--- a/marigoldchute/hosted/discovery.py
+++ b/marigoldchute/hosted/discovery.py
@@ -65,8 +65,10 @@
         await self._retry_until_done(self._write_entry)
         await self._retry_until_done(self._list_members)
         self.first_list_done.set()
-        if self._store.fastest_s < float("inf"):
-            self._directory.publish_store_latency(int(self._store.fastest_s * 1000) + 1)
+        if self._store.min_latency_s < float("inf"):
+            self._directory.publish_store_latency(
+                int(self._store.min_latency_s * 1000) + 1
+            )
         while True:
             await trio.sleep(RELIST_INTERVAL_S * self._rng.uniform(0.7, 1.3))
             try:
--- a/marigoldchute/hosted/node.py
+++ b/marigoldchute/hosted/node.py
@@ -222,7 +222,7 @@
         self._caller_edge = HttpServer(self.entry.handle_external, self._log_failure)
         self._control_edge = HttpServer(control, self._log_failure)
         self._readiness_edge = HttpServer(readiness, self._log_failure)
-        self._in_force.on_swap(self._apply_bundle)
+        self._in_force.add_swap_listener(self._apply_bundle)
         self.directory.on_view_changed += [
             self.entry.candidate_tables.mark_stale,
             self._order_book.refresh,
@@ -331,7 +331,7 @@
                     "requests": budget.requests,
                     "retries": budget.retries,
                     "refused_retries": budget.refused_retries,
-                    "log_lines_dropped": line_out.dropped if line_out else 0,
+                    "log_lines_dropped": line_out.dropped_count if line_out else 0,
                 },
             ),
         )
--- a/marigoldchute/moves/driver.py
+++ b/marigoldchute/moves/driver.py
@@ -69,7 +69,7 @@
         msgspec.json.encode(verdict),
         lambda value: decode_verdict(value).token == verdict.token,
     )
-    return verdict if created.is_mine else decode_verdict(created.value)
+    return verdict if created.is_own else decode_verdict(created.value)
 
 
 class Driver:
--- a/marigoldchute/moves/engine.py
+++ b/marigoldchute/moves/engine.py
@@ -84,7 +84,7 @@
         self._guidance: dict[str, CollectorResponse] = {}
         self._capacity: dict[str, tuple[int, Capacity]] = {}
         self.recorder = EvidenceRecorder()
-        in_force.on_swap(self._apply_bundle)
+        in_force.add_swap_listener(self._apply_bundle)
         table.subscribe(RecordKind.FAULT, self._handle_fault)
         table.subscribe(RecordKind.VERDICT, self._handle_verdict)
 
--- a/marigoldchute/moves/reporter.py
+++ b/marigoldchute/moves/reporter.py
@@ -71,7 +71,7 @@
         self._last_state: tuple[str, int, tuple[MoveReport, ...]] | None = None
         self._last_report_at = 0.0
         self._digests: dict[str, dict[str, ConfirmationDigest]] = {}
-        in_force.on_swap(lambda bundle: self.request_report())
+        in_force.add_swap_listener(lambda bundle: self.request_report())
 
     def request_report(self) -> None:
         """Request an early report because the state of a move changed."""
--- a/marigoldchute/objectstore/caller.py
+++ b/marigoldchute/objectstore/caller.py
@@ -72,7 +72,7 @@
         self._budget: CallBudget | None = None
         self._circuit = CircuitBreaker(rng)
         self.calls = 0
-        self.fastest_s = float("inf")
+        self.min_latency_s = float("inf")
 
     @property
     def is_reachable(self) -> bool:
@@ -139,7 +139,9 @@
             self.calls += 1
             started_at = trio.current_time()
             response = await self._send(method, url, body, headers, deadline)
-            self.fastest_s = min(self.fastest_s, trio.current_time() - started_at)
+            self.min_latency_s = min(
+                self.min_latency_s, trio.current_time() - started_at
+            )
             raise_for_status(method, path, response.status, response.content)
             return response.content
 
--- a/marigoldchute/objectstore/client.py
+++ b/marigoldchute/objectstore/client.py
@@ -9,7 +9,7 @@
 from marigoldchute.errors import PlatformError, ResultCode
 from marigoldchute.objectstore.api import MAX_VALUE_BYTES, StoredObject, WatchEvent
 from marigoldchute.objectstore.caller import StoreCaller
-from marigoldchute.objectstore.messages import Item, Items, Written, decode_answer
+from marigoldchute.objectstore.messages import Item, Items, Written, decode_response
 from marigoldchute.objectstore.watch import Watch
 
 if TYPE_CHECKING:
@@ -18,9 +18,9 @@
 
     from marigoldchute.objectstore.settings import StoreSettings
 
-_DECODE_ITEM = functools.partial(decode_answer, cls=Item)
-_DECODE_ITEMS = functools.partial(decode_answer, cls=Items)
-_DECODE_WRITTEN = functools.partial(decode_answer, cls=Written)
+_DECODE_ITEM = functools.partial(decode_response, cls=Item)
+_DECODE_ITEMS = functools.partial(decode_response, cls=Items)
+_DECODE_WRITTEN = functools.partial(decode_response, cls=Written)
 
 
 class HttpObjectStore:
--- a/marigoldchute/objectstore/conditional.py
+++ b/marigoldchute/objectstore/conditional.py
@@ -32,16 +32,16 @@
     ----------
     value : bytes
         Value that the object holds.
-    is_mine : bool
+    is_own : bool
         Whether this writer's value was stored.
     """
 
     value: bytes
-    is_mine: bool
+    is_own: bool
 
 
 async def create_once(
-    store: ObjectStore, key: str, value: bytes, is_mine: Callable[[bytes], bool]
+    store: ObjectStore, key: str, value: bytes, is_own: Callable[[bytes], bool]
 ) -> Creation:
     """Create an object unless it exists, and return the value that is stored.
 
@@ -58,7 +58,7 @@
         Object to create.
     value : bytes
         Value with a token that no other writer uses.
-    is_mine : callable
+    is_own : callable
         Returns whether a stored value carries this writer's token.
 
     Returns
@@ -98,5 +98,5 @@
             raise UnknownOutcomeError(
                 f"outcome of writing {key} is unknown: {exc}"
             ) from exc
-        return Creation(stored, is_mine(stored))
+        return Creation(stored, is_own(stored))
     raise UnknownOutcomeError(f"outcome of writing {key} is unknown")
--- a/marigoldchute/objectstore/documents.py
+++ b/marigoldchute/objectstore/documents.py
@@ -56,7 +56,7 @@
         """Whether recent calls got a response."""
 
     @property
-    def fastest_s(self) -> float:
+    def min_latency_s(self) -> float:
         """Shortest time from a call to its response in seconds."""
 
     @property
--- a/marigoldchute/objectstore/messages.py
+++ b/marigoldchute/objectstore/messages.py
@@ -54,7 +54,7 @@
     revision: int
 
 
-def decode_answer(body: bytes, cls: type[_T], method: str) -> _T:
+def decode_response(body: bytes, cls: type[_T], method: str) -> _T:
     """Decode a response.
 
     Raises
--- a/marigoldchute/platform/store.py
+++ b/marigoldchute/platform/store.py
@@ -11,7 +11,7 @@
 from marigoldchute.errors import NotFoundError
 from marigoldchute.objectstore.caller import StoreCaller
 from marigoldchute.objectstore.documents import Document, DocumentPage
-from marigoldchute.objectstore.messages import decode_answer
+from marigoldchute.objectstore.messages import decode_response
 
 if TYPE_CHECKING:
     import random
@@ -51,9 +51,9 @@
     at: int
 
 
-_decode_page = functools.partial(decode_answer, cls=_Page)
-_decode_events = functools.partial(decode_answer, cls=_Events)
-_decode_object = functools.partial(decode_answer, cls=_Object)
+_decode_page = functools.partial(decode_response, cls=_Page)
+_decode_events = functools.partial(decode_response, cls=_Events)
+_decode_object = functools.partial(decode_response, cls=_Object)
 
 
 class PlatformDocumentStore:
@@ -80,9 +80,9 @@
         return self._caller.is_reachable
 
     @property
-    def fastest_s(self) -> float:
+    def min_latency_s(self) -> float:
         """Shortest response time of a call in seconds."""
-        return self._caller.fastest_s
+        return self._caller.min_latency_s
 
     @property
     def calls(self) -> int:
--- a/marigoldchute/routing/backend_conn.py
+++ b/marigoldchute/routing/backend_conn.py
@@ -109,7 +109,7 @@
         when it closes its side, the slot is free. A connection that is not closed
         within ``ABANDON_TIMEOUT_S`` is reset.
         """
-        self.tcp.shut_down_sending()
+        self.tcp.send_eof()
         try:
             with trio.move_on_after(ABANDON_TIMEOUT_S):
                 while await self.tcp.receive(RECEIVE_BYTES):
@@ -172,7 +172,7 @@
         while self._idle:
             conn = self._idle.pop()
             idle_s = now - conn.idle_since
-            if idle_s >= conn.reusable_for_s or not conn.tcp.is_quiet():
+            if idle_s >= conn.reusable_for_s or not conn.tcp.is_idle():
                 self.discard(conn)
             elif not idempotent and idle_s >= MAX_IDLE_NON_IDEMPOTENT_S:
                 self._idle.append(conn)
--- a/marigoldchute/routing/entry.py
+++ b/marigoldchute/routing/entry.py
@@ -141,7 +141,7 @@
         self._release_choice = ReleaseChoice(rng, policy.boost_rare_routes)
         self._request_log = RequestLog(log)
         self._dispatcher = Dispatcher(members, traffic, owner, chooser, sink, clock)
-        in_force.on_swap(self._on_bundle)
+        in_force.add_swap_listener(self._on_bundle)
 
     def _on_bundle(self, bundle: Bundle) -> None:
         self._routes = RouteTable(bundle)
--- a/marigoldchute/routing/http_server.py
+++ b/marigoldchute/routing/http_server.py
@@ -132,7 +132,7 @@
                 self._close_idle(conn)
 
     def _close_idle(self, conn: _CallerConn) -> None:
-        if conn.tcp.is_quiet():
+        if conn.tcp.is_idle():
             conn.tcp.close()
 
     async def serve_connection(self, tcp: TcpConn) -> None:
@@ -283,7 +283,7 @@
 
 async def _close_lingering(tcp: TcpConn) -> None:
     """Half-close first, so that a caller that still sends can read its response."""
-    tcp.shut_down_sending()
+    tcp.send_eof()
     discarded_bytes = 0
     with trio.move_on_after(LINGER_TIMEOUT_S):
         while discarded_bytes < MAX_LINGER_BYTES:
--- a/marigoldchute/standins/faultproxy.py
+++ b/marigoldchute/standins/faultproxy.py
@@ -15,7 +15,7 @@
 import msgspec
 import trio
 
-from marigoldchute.util.asgi import answer, read_body, serve_app, serve_lifespan
+from marigoldchute.util.asgi import read_body, send_response, serve_app, serve_lifespan
 
 if TYPE_CHECKING:
     from marigoldchute.util.asgi import Receive, Scope, Send
@@ -291,6 +291,6 @@
         elif scope["path"] == "/rules":
             body = await read_body(receive, MAX_RULES_BYTES) or b"[]"
             self.set_rules(msgspec.json.decode(body, type=tuple[Rule, ...]))
-            await answer(send, 200, b"{}")
+            await send_response(send, 200, b"{}")
         else:
-            await answer(send, 200, msgspec.json.encode(self.byte_counts()))
+            await send_response(send, 200, msgspec.json.encode(self.byte_counts()))
--- a/marigoldchute/standins/load.py
+++ b/marigoldchute/standins/load.py
@@ -18,8 +18,8 @@
 from marigoldchute.util.tcp import TcpConn, open_tcp
 
 RECEIVE_BYTES = 65_536
-LOWEST_US = 1
-HIGHEST_US = 60_000_000
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 NO_RESPONSE = "no answer"
 
@@ -115,7 +115,9 @@
         self._rng = random.Random(plan.seed)
         self._idle_connections: list[TcpConn] = []
         self._results: collections.Counter[str] = collections.Counter()
-        self._histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+        self._histogram = HdrHistogram(
+            MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
+        )
         self._encoded_request = (
             f"{plan.method} {plan.path} HTTP/1.1\r\nhost: {plan.address}\r\n"
             f"content-length: {plan.body_bytes}\r\n\r\n"
@@ -150,7 +152,7 @@
         self._results[result] += 1
         if result[0] in "234":
             latency_us = int((time.perf_counter() - started_at) * 1_000_000)
-            self._histogram.record_value(max(latency_us, LOWEST_US))
+            self._histogram.record_value(max(latency_us, MIN_LATENCY_US))
 
     async def _send_request(self) -> str:
         plan = self._plan
--- a/marigoldchute/standins/loopback.py
+++ b/marigoldchute/standins/loopback.py
@@ -76,7 +76,7 @@
     store_address: str
     proxy_block: str = ""
 
-    def reached_address(self, address: str) -> str:
+    def reachable_address(self, address: str) -> str:
         """Return the address at which other processes reach a VM or the store."""
         if not self.proxy_block:
             return address
--- a/marigoldchute/standins/mesh.py
+++ b/marigoldchute/standins/mesh.py
@@ -20,7 +20,7 @@
 import trio
 
 from marigoldchute.admin.client import AdminClient
-from marigoldchute.bundle.signing import generate_private_key, public_key_of
+from marigoldchute.bundle.signing import derive_public_key, generate_private_key
 from marigoldchute.errors import MarigoldchuteError, PeerError
 from marigoldchute.standins.backend_faults import (
     FAULTS_TARGET,
@@ -110,7 +110,7 @@
         ]
         first = self.plan.vms[0]
         store = Endpoint("store", "store", first.region, self.plan.store_address)
-        reachable = self.plan.reached_address
+        reachable = self.plan.reachable_address
         forwards = [
             Forward(reachable(endpoint.address), PEER_PORT, endpoint)
             for endpoint in endpoints
@@ -123,7 +123,7 @@
         path.write_bytes(msgspec.json.encode(plan))
         self._start_process("proxy", "marigoldchute.cmd.standin", ["proxy", str(path)])
 
-    async def set_faults(self, *rules: Rule) -> None:
+    async def set_proxy_rules(self, *rules: Rule) -> None:
         """Replace the rules of the fault-injecting proxy."""
         await self._call_control(PROXY_PORT, "/rules", msgspec.json.encode(rules))
 
@@ -158,7 +158,7 @@
         """Replace the faults of the store stand-in."""
         await self._call_control(STORE_PORT, "/faults", msgspec.json.encode(faults))
 
-    async def store_calls(self) -> CallCounts:
+    async def store_call_counts(self) -> CallCounts:
         """Return the call counts of the store stand-in."""
         body = await self._call_control(STORE_PORT, "/calls", b"")
         return msgspec.json.decode(body, type=CallCounts)
@@ -291,12 +291,12 @@
         key = {
             "key_id": "ops-1",
             "private_key": self.private_key,
-            "public_key": public_key_of(self.private_key),
+            "public_key": derive_public_key(self.private_key),
         }
         self.key_path.write_text(json.dumps(key))
 
     def _build_node_settings(self, vm: Vm) -> dict[str, object]:
-        reachable = self.plan.reached_address
+        reachable = self.plan.reachable_address
         seeds = [f"{reachable(v.address)}:{PEER_PORT}" for v in self.plan.vms[:3]]
         return {
             "name": vm.name,
@@ -309,7 +309,7 @@
                 "port": STORE_PORT,
             },
             "trusted_keys": [
-                {"key_id": "ops-1", "public_key": public_key_of(self.private_key)}
+                {"key_id": "ops-1", "public_key": derive_public_key(self.private_key)}
             ],
             "seeds": seeds,
             "peer_secret": PEER_SECRET,
--- a/marigoldchute/standins/store.py
+++ b/marigoldchute/standins/store.py
@@ -11,14 +11,14 @@
 import msgspec
 import trio
 
-from marigoldchute.util.asgi import answer, read_body, serve_app, serve_lifespan
+from marigoldchute.util.asgi import read_body, send_response, serve_app, serve_lifespan
 
 if TYPE_CHECKING:
     from marigoldchute.util.asgi import Receive, Scope, Send
 
 MAX_VALUE_BYTES = 1_000_000
-WRITES_PER_S = 500
-READS_PER_S = 2000
+MAX_WRITES_PER_S = 500
+MAX_READS_PER_S = 2000
 
 ObjectEntry = tuple[str, bytes | None, int]
 
@@ -106,7 +106,7 @@
         counts.watch += watch
         counts.peak_reads_per_s = max(counts.peak_reads_per_s, self._reads)
         counts.peak_writes_per_s = max(counts.peak_writes_per_s, self._writes)
-        if self._reads > READS_PER_S or self._writes > WRITES_PER_S:
+        if self._reads > MAX_READS_PER_S or self._writes > MAX_WRITES_PER_S:
             counts.refused += 1
             return False
         return True
@@ -281,7 +281,7 @@
             result = self._encode_item(name, *current)
         if self._store.consume_fault("cut_answers"):
             body = json.dumps(result).encode()
-            await answer(send, 200, body[: len(body) // 2])
+            await send_response(send, 200, body[: len(body) // 2])
             return
         await _send_json(send, 200, result)
 
@@ -326,7 +326,7 @@
 
 
 async def _send_json(send: Send, status: int, value: object) -> None:
-    await answer(send, status, json.dumps(value).encode())
+    await send_response(send, status, json.dumps(value).encode())
 
 
 async def _abort_response(send: Send) -> None:
--- a/marigoldchute/util/asgi.py
+++ b/marigoldchute/util/asgi.py
@@ -30,7 +30,7 @@
             return bytes(body)
 
 
-async def answer(
+async def send_response(
     send: Send,
     status: int,
     body: bytes,
--- a/marigoldchute/util/lineout.py
+++ b/marigoldchute/util/lineout.py
@@ -10,7 +10,7 @@
 MAX_WRITE_BYTES = 4_096  # A writable pipe accepts this many bytes without blocking.
 
 
-class LineOut:
+class LineWriter:
     """Writes lines to a file descriptor without blocking on a slow reader.
 
     Lines that cannot be written yet are buffered. When the buffer holds more than
@@ -25,7 +25,7 @@
 
     Attributes
     ----------
-    dropped : int
+    dropped_count : int
         Number of lines dropped.
     """
 
@@ -36,7 +36,7 @@
         self._poll.register(fd, select.POLLOUT)
         self._buffer: collections.deque[bytes] = collections.deque()
         self._buffered_bytes = 0
-        self.dropped = 0
+        self.dropped_count = 0
 
     def write(self, data: bytes) -> int:
         """Buffer all of the data and return its length."""
@@ -56,7 +56,7 @@
                 # The reader has closed its end, and there is no other output on which
                 # to report the dropped line.
                 self._buffered_bytes -= len(data)
-                self.dropped += 1
+                self.dropped_count += 1
                 continue
             self._buffered_bytes -= written
             if written < len(data):
@@ -72,4 +72,4 @@
             dropped = self._buffer.popleft()
             self._buffer.appendleft(first)
             self._buffered_bytes -= len(dropped)
-            self.dropped += 1
+            self.dropped_count += 1
--- a/marigoldchute/util/tcp.py
+++ b/marigoldchute/util/tcp.py
@@ -143,7 +143,7 @@
                 await trio.lowlevel.wait_writable(self._sock)
                 sent += self.send_now(view[sent:])
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether no data is pending and the peer has not closed."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
@@ -153,7 +153,7 @@
             return False
         return False
 
-    def shut_down_sending(self) -> None:
+    def send_eof(self) -> None:
         """Shut down the sending side, so that the peer reads the end of the data."""
         try:
             self._sock.shutdown(socket.SHUT_WR)
--- a/tests/support/membership.py
+++ b/tests/support/membership.py
@@ -28,7 +28,7 @@
 
     def start_nodes(self) -> None:
         self.mesh.start_store()
-        if self.proxied:
+        if self.uses_proxy:
             self.mesh.start_proxy()
         for vm in self.mesh.plan.vms:
             self.start_node(vm.name)
--- a/tests/support/meshes.py
+++ b/tests/support/meshes.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from marigoldchute.bundle.signing import public_key_of
+from marigoldchute.bundle.signing import derive_public_key
 from marigoldchute.standins.backend import BackendSettings
 from marigoldchute.standins.loopback import (
     BACKEND_PORT,
@@ -34,9 +34,9 @@
 class MeshTestCase(unittest.TestCase):
     """A test case with its own mesh, which is stopped after each test."""
 
-    centres = 2
-    per_centre = 2
-    proxied = False
+    data_centre_count = 2
+    vms_per_data_centre = 2
+    uses_proxy = False
     seed = int(os.environ.get("MARIGOLDCHUTE_SEED", "1"))
 
     def setUp(self) -> None:
@@ -45,14 +45,19 @@
         path = pathlib.Path(self._directory.name)
         block = LoopbackBlock()
         self.addCleanup(block.release)
-        plan = plan_mesh(block.number, self.centres, self.per_centre, self.proxied)
+        plan = plan_mesh(
+            block.number,
+            self.data_centre_count,
+            self.vms_per_data_centre,
+            self.uses_proxy,
+        )
         self.mesh = Mesh(plan, path, self.seed)
         self.mesh.write_key()
         self.addCleanup(self.mesh.stop)
 
     def tearDown(self) -> None:
         self.mesh.stop()
-        public_keys = {"ops-1": public_key_of(self.mesh.private_key)}
+        public_keys = {"ops-1": derive_public_key(self.mesh.private_key)}
         events = read_events(self.mesh.directory)
         self.assertEqual(find_violations(events, public_keys), [])
 
@@ -69,7 +74,7 @@
         """Start the store, the proxy if the mesh has one, and every node."""
         self.mesh.start_store()
         self._wait_for_store()
-        if self.proxied:
+        if self.uses_proxy:
             self.mesh.start_proxy()
         for vm in self.mesh.plan.vms:
             self.mesh.start_node(vm.name)
--- a/tests/support/rolls.py
+++ b/tests/support/rolls.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from marigoldchute.admin.messages import RollOrder
+from marigoldchute.admin.messages import RollRequest
 from marigoldchute.bundle.codec import chunk_digest, encode_manifest, split_content
 from marigoldchute.bundle.signing import sign_manifest
 from marigoldchute.errors import MarigoldchuteError, ResultCode
@@ -30,13 +30,13 @@
 
     def signed_order(
         self, version: int, bundle: BundleContent, author: str = "ana"
-    ) -> RollOrder:
+    ) -> RollRequest:
         chunks = split_content(bundle)
         digests = [chunk_digest(chunk) for chunk in chunks]
         manifest = sign_manifest(
             version, digests, "ops-1", self.mesh.private_key, author, f"{author}-t"
         )
-        return RollOrder(encode_manifest(manifest), tuple(chunks))
+        return RollRequest(encode_manifest(manifest), tuple(chunks))
 
     async def roll_content(
         self, vm_name: str, version: int, bundle: BundleContent
@@ -44,7 +44,7 @@
         await self.mesh.admin(vm_name).roll(self.signed_order(version, bundle))
 
     async def roll_result(
-        self, vm_name: str, order: RollOrder
+        self, vm_name: str, order: RollRequest
     ) -> tuple[ResultCode, str]:
         try:
             await self.mesh.admin(vm_name).roll(order)
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -17,7 +17,7 @@
 
 
 @contextlib.asynccontextmanager
-async def listening(
+async def serve_script(
     script: Callable[[trio.SocketStream], Awaitable[None]],
 ) -> AsyncIterator[str]:
     """Serve each connection with a script; yield the address of the server."""
--- a/tests/test_admin/test_app.py
+++ b/tests/test_admin/test_app.py
@@ -14,7 +14,7 @@
     Failure,
     MoveStatus,
     Readiness,
-    RollOrder,
+    RollRequest,
     RollResult,
     Status,
 )
@@ -30,7 +30,7 @@
 
 TOKEN = "a token of the operators"
 STATS = NodeStats(1, 2, 3, 4, 5, 6, 7.5, 8, 9.5)
-ROLL_REQUEST = msgspec.json.encode(RollOrder(b"m", (b"c",)))
+ROLL_REQUEST = msgspec.json.encode(RollRequest(b"m", (b"c",)))
 
 
 class FakeService:
@@ -63,7 +63,7 @@
         self._record_call("status")
         return Status("vm-1", 3, 3, (), ())
 
-    async def roll(self, request: RollOrder) -> RollResult:
+    async def roll(self, request: RollRequest) -> RollResult:
         self._record_call("roll", request)
         return RollResult(4)
 
--- a/tests/test_bundle/test_inforce.py
+++ b/tests/test_bundle/test_inforce.py
@@ -22,7 +22,9 @@
     def test_version_in_force_never_decreases(self, versions: list[int]) -> None:
         in_force = InForce()
         versions_in_force = [0]
-        in_force.on_swap(lambda bundle: versions_in_force.append(bundle.version))
+        in_force.add_swap_listener(
+            lambda bundle: versions_in_force.append(bundle.version)
+        )
         for version in versions:
             in_force.swap(_bundle(version))
         self.assertEqual(versions_in_force, sorted(set(versions_in_force)))
--- a/tests/test_bundle/test_signoff.py
+++ b/tests/test_bundle/test_signoff.py
@@ -11,16 +11,16 @@
 from marigoldchute.bundle.codec import decode_manifest
 from marigoldchute.bundle.signing import (
     SignatureVerifier,
+    derive_public_key,
     generate_private_key,
-    public_key_of,
 )
 from marigoldchute.bundle.signoff import (
     BuiltBundle,
     KeyFile,
-    content_of_file,
-    is_signed_file,
+    is_signed_bundle,
+    parse_bundle_content,
     parse_key_file,
-    parse_signed,
+    parse_signed_bundle,
     sign_content,
 )
 from marigoldchute.config import TrustedKey
@@ -37,7 +37,7 @@
 
 def new_key() -> KeyFile:
     private_key = generate_private_key()
-    return KeyFile("ops-1", private_key, public_key_of(private_key))
+    return KeyFile("ops-1", private_key, derive_public_key(private_key))
 
 
 def to_json(value: Any) -> Any:
@@ -50,29 +50,29 @@
         for name, move_id in moves.items():
             with self.subTest(name=name):
                 path = str(EXAMPLES / name / "bundle.json")
-                content = content_of_file(load_file(path), path, NOW_MS)
+                content = parse_bundle_content(load_file(path), path, NOW_MS)
                 self.assertEqual([m.move_id for m in content.moves], [move_id])
                 self.assertGreater(content.moves[0].deadline_ms, NOW_MS)
                 self.assertEqual(sum(s.internal for s in content.services), 2)
 
     def test_times_of_a_built_file_do_not_depend_on_the_clock(self) -> None:
         path = str(EXAMPLES / "hanbit" / "bundle.json")
-        built = content_of_file(load_file(path), path, NOW_MS)
-        reloaded = content_of_file(
+        built = parse_bundle_content(load_file(path), path, NOW_MS)
+        reloaded = parse_bundle_content(
             to_json(BuiltBundle(built)), "built.json", NOW_MS * 2
         )
         self.assertEqual(reloaded, built)
 
     def test_time_limit_argument_replaces_the_one_of_the_file(self) -> None:
         path = str(EXAMPLES / "foundation" / "bundle.json")
-        content = content_of_file(load_file(path), path, NOW_MS, 90_000)
+        content = parse_bundle_content(load_file(path), path, NOW_MS, 90_000)
         move = content.moves[0]
         self.assertEqual(move.deadline_ms - move.start_ms, 90_000)
 
     def test_unknown_key_is_refused_with_a_suggestion(self) -> None:
         route = SOURCE["routes"][0] | {"path_prefx": "/x"}
         with self.assertRaises(BundleError) as caught:
-            content_of_file(SOURCE | {"routes": [route]}, "b.json", NOW_MS)
+            parse_bundle_content(SOURCE | {"routes": [route]}, "b.json", NOW_MS)
         self.assertIn(
             "b.json: $.routes[0]: unknown key 'path_prefx'; "
             "did you mean 'path_prefix'?",
@@ -81,7 +81,7 @@
 
     def test_route_to_a_missing_service_is_refused_with_its_code(self) -> None:
         with self.assertRaises(BundleError) as caught:
-            content_of_file(SOURCE | {"services": []}, "b.json", NOW_MS)
+            parse_bundle_content(SOURCE | {"services": []}, "b.json", NOW_MS)
         self.assertIs(caught.exception.code, ResultCode.BUNDLE_REFERENCE_MISSING)
         self.assertIn("b.json: ", caught.exception.message)
 
@@ -92,11 +92,11 @@
     ) -> None:
         key = new_key()
         order = sign_content(
-            content_of_file(SOURCE, "b.json", NOW_MS), 7, key, "an operator"
+            parse_bundle_content(SOURCE, "b.json", NOW_MS), 7, key, "an operator"
         )
         value = to_json(order)
-        self.assertTrue(is_signed_file(value))
-        self.assertEqual(parse_signed(value, "signed.json"), order)
+        self.assertTrue(is_signed_bundle(value))
+        self.assertEqual(parse_signed_bundle(value, "signed.json"), order)
         manifest = decode_manifest(order.manifest)
         SignatureVerifier([TrustedKey(key.key_id, key.public_key)]).verify(manifest)
         self.assertEqual((manifest.version, manifest.author), (7, "an operator"))
@@ -104,7 +104,7 @@
     def test_malformed_signed_file_is_refused(self) -> None:
         for value in ({"manifest": 1}, {"manifest": "AA=="}, {"manifest": "?"}):
             with self.subTest(value=value), self.assertRaises(BundleError):
-                parse_signed(value, "signed.json")
+                parse_signed_bundle(value, "signed.json")
 
 
 class KeyFileTest(unittest.TestCase):
--- a/tests/test_distribution/test_chain.py
+++ b/tests/test_distribution/test_chain.py
@@ -13,8 +13,8 @@
 from marigoldchute.bundle.model import Bundle, BundleContent, Manifest, Route
 from marigoldchute.bundle.signing import (
     SignatureVerifier,
+    derive_public_key,
     generate_private_key,
-    public_key_of,
     sign_manifest,
 )
 from marigoldchute.config import TrustedKey
@@ -42,7 +42,9 @@
         self.in_force = InForce()
         self.newest_manifest: Manifest | None = None
         self.newest_is_refused = False
-        verifier = SignatureVerifier([TrustedKey("ops-1", public_key_of(PRIVATE_KEY))])
+        verifier = SignatureVerifier(
+            [TrustedKey("ops-1", derive_public_key(PRIVATE_KEY))]
+        )
         arguments: list[Any] = [store, verifier, self.in_force, self, _skip_preflight]
         self.rollout = Rollout(*arguments)
         self._content = make_content()
--- a/tests/test_distribution/test_fetch.py
+++ b/tests/test_distribution/test_fetch.py
@@ -22,7 +22,7 @@
 from marigoldchute.distribution.fetch import MAX_CONCURRENT_FETCHES, ChunkFetcher
 from marigoldchute.distribution.keys import chunk_key
 from marigoldchute.errors import NotFoundError, PeerError, ResultCode
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.link.handlers import Handlers
 from marigoldchute.link.methods import Method
 from marigoldchute.objectstore.api import StoredObject
@@ -100,8 +100,8 @@
 class FetchTest(unittest.TestCase):
     def fetch(
         self, peers: list[_FakeLink], store: _FakeStore, waited_s: float
-    ) -> tuple[bool, ChunkCache, EventSink]:
-        cache, log = ChunkCache(), EventSink()
+    ) -> tuple[bool, ChunkCache, MemoryEventLog]:
+        cache, log = ChunkCache(), MemoryEventLog()
         local = types.SimpleNamespace(region="cartago", data_centre="cartago-norte")
         arguments: list[Any] = [
             types.SimpleNamespace(local=local),
--- a/tests/test_distribution/test_invariants.py
+++ b/tests/test_distribution/test_invariants.py
@@ -9,8 +9,8 @@
 from marigoldchute.bundle.codec import chunk_digest, split_content
 from marigoldchute.bundle.model import Bundle, BundleContent, Route, Service
 from marigoldchute.bundle.signing import (
+    derive_public_key,
     generate_private_key,
-    public_key_of,
     sign_manifest,
 )
 from marigoldchute.distribution.audit import audit_fields
@@ -25,7 +25,7 @@
 class InvariantTest(unittest.TestCase):
     def setUp(self) -> None:
         self.private_key = generate_private_key()
-        self.keys = {"ops-1": public_key_of(self.private_key)}
+        self.keys = {"ops-1": derive_public_key(self.private_key)}
 
     def bundle(self, version: int, content: BundleContent = CONTENT) -> Bundle:
         chunks = [chunk_digest(chunk) for chunk in split_content(content)]
--- a/tests/test_distribution/test_partitions.py
+++ b/tests/test_distribution/test_partitions.py
@@ -18,8 +18,8 @@
 
 
 class PartitionedDataCentreTest(RollTestCase):
-    centres = 3
-    proxied = True
+    data_centre_count = 3
+    uses_proxy = True
 
     def test_partitioned_data_centre_keeps_its_version_and_catches_up_when_healed(
         self,
@@ -35,16 +35,16 @@
             Rule("limon-muelle", other, Action.DROP)
             for other in ("cartago-norte", "cartago-sur")
         ]
-        await self.mesh.set_faults(*drop_peers)
+        await self.mesh.set_proxy_rules(*drop_peers)
         await self.roll_content("cartago-norte-1", 2, SECOND_CONTENT)
         await self.wait_for_version(2)
         drop_store = Rule("limon-muelle", "store", Action.DROP)
-        await self.mesh.set_faults(*drop_peers, drop_store)
+        await self.mesh.set_proxy_rules(*drop_peers, drop_store)
         await self.roll_content("cartago-sur-2", 3, FIRST_CONTENT)
         reachable = [n for n in self.node_names if not n.startswith("limon")]
         await self.wait_for_version(3, reachable)
         await self._restart_partitioned_node()
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
         await self.wait_for_version(3)
 
     async def _restart_partitioned_node(self) -> None:
@@ -55,9 +55,9 @@
 
 
 class JoinTest(RollTestCase):
-    centres = 4
-    per_centre = 1
-    proxied = True
+    data_centre_count = 4
+    vms_per_data_centre = 1
+    uses_proxy = True
 
     def test_joining_node_never_serves_an_older_version_than_a_reachable_peer(
         self,
@@ -74,12 +74,14 @@
             Rule(stale_node, other, Action.DROP)
             for other in ("cartago-norte-1", "cartago-sur-1", joining, "store")
         ]
-        await self.mesh.set_faults(*drop_rules)
+        await self.mesh.set_proxy_rules(*drop_rules)
         await self.roll_content("cartago-norte-1", 2, SECOND_CONTENT)
         await self.wait_for_version(2, [n for n in self.node_names if n != stale_node])
         self.mesh.kill(joining)
         # Reset the link so that data sent by the old process is not delivered.
-        await self.mesh.set_faults(*drop_rules, Rule(stale_node, joining, Action.RESET))
+        await self.mesh.set_proxy_rules(
+            *drop_rules, Rule(stale_node, joining, Action.RESET)
+        )
         drop_store = Rule(joining, "store", Action.DROP)
         remaining_drop_rules = [rule for rule in drop_rules if rule.target != joining]
         # The stale peer responds first; the up-to-date peers respond later.
@@ -88,10 +90,10 @@
             Rule(joining, n, Action.DELAY, delay_ms=UP_TO_DATE_PEER_DELAY_MS)
             for n in up_to_date
         ]
-        await self.mesh.set_faults(*remaining_drop_rules, drop_store, *delay_rules)
+        await self.mesh.set_proxy_rules(*remaining_drop_rules, drop_store, *delay_rules)
         addresses = [self.mesh.vm(name).address for name in (stale_node, *up_to_date)]
-        reached_address = self.mesh.plan.reached_address
-        seeds = [f"{reached_address(address)}:{PEER_PORT}" for address in addresses]
+        reachable_address = self.mesh.plan.reachable_address
+        seeds = [f"{reachable_address(address)}:{PEER_PORT}" for address in addresses]
         self.mesh.node_settings = {"seeds": seeds}
         self.mesh.start_node(joining)
         await self.wait_for_version(2)
--- a/tests/test_distribution/test_replicator.py
+++ b/tests/test_distribution/test_replicator.py
@@ -18,15 +18,15 @@
 from marigoldchute.bundle.model import BundleContent, Route
 from marigoldchute.bundle.signing import (
     SignatureVerifier,
+    derive_public_key,
     generate_private_key,
-    public_key_of,
     sign_manifest,
 )
 from marigoldchute.config import TrustedKey
 from marigoldchute.distribution.keys import HEAD_KEY, chunk_key
 from marigoldchute.distribution.service import Replicator
 from marigoldchute.errors import NotFoundError, PlatformError
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.link.handlers import Handlers
 from marigoldchute.objectstore.api import StoredObject, WatchEvent
 from marigoldchute.overlay.records import Record, RecordKind, RecordTable
@@ -74,7 +74,7 @@
         self.store = _FakeStore()
         self.table = RecordTable()
         self.in_force = InForce()
-        self.log = EventSink("vm-1")
+        self.log = MemoryEventLog("vm-1")
         local = types.SimpleNamespace(name="vm-1", region="cartago", data_centre="n")
         duties = types.SimpleNamespace(
             is_held_here=lambda *args: True, holder=lambda *args: "vm-1"
@@ -92,7 +92,7 @@
             overlay,
             self.table,
             store,
-            SignatureVerifier([TrustedKey("ops-1", public_key_of(PRIVATE_KEY))]),
+            SignatureVerifier([TrustedKey("ops-1", derive_public_key(PRIVATE_KEY))]),
             self.in_force,
             Handlers(),
             log,
@@ -176,7 +176,7 @@
             if event.event == "in_force"
         ]
         self.assertEqual(
-            find_violations(events, {"ops-1": public_key_of(PRIVATE_KEY)}), []
+            find_violations(events, {"ops-1": derive_public_key(PRIVATE_KEY)}), []
         )
         versions = [event["version"] for event in events]
         self.assertEqual(versions, sorted(set(versions)))
--- a/tests/test_distribution/test_rollout.py
+++ b/tests/test_distribution/test_rollout.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from marigoldchute.admin.messages import RollOrder
+from marigoldchute.admin.messages import RollRequest
 from marigoldchute.bundle.codec import chunk_digest, encode_manifest, split_content
 from marigoldchute.bundle.signing import generate_private_key, sign_manifest
 from marigoldchute.errors import ResultCode
@@ -71,17 +71,17 @@
         )
         truncated = tuple(chunk[:-1] for chunk in valid.chunks)
         cases = {
-            RollOrder(unsigned, valid.chunks): ResultCode.BUNDLE_UNSIGNED,
-            RollOrder(self._encode_altered_manifest(version=9), valid.chunks): (
+            RollRequest(unsigned, valid.chunks): ResultCode.BUNDLE_UNSIGNED,
+            RollRequest(self._encode_altered_manifest(version=9), valid.chunks): (
                 ResultCode.BUNDLE_DIGEST_MISMATCH
             ),
-            RollOrder(self._encode_altered_manifest(author="eve"), valid.chunks): (
+            RollRequest(self._encode_altered_manifest(author="eve"), valid.chunks): (
                 ResultCode.BUNDLE_DIGEST_MISMATCH
             ),
-            RollOrder(encode_manifest(wrong_key), valid.chunks): (
+            RollRequest(encode_manifest(wrong_key), valid.chunks): (
                 ResultCode.BUNDLE_SIGNATURE_INVALID
             ),
-            RollOrder(valid.manifest, truncated): ResultCode.BUNDLE_CHUNK_MISSING,
+            RollRequest(valid.manifest, truncated): ResultCode.BUNDLE_CHUNK_MISSING,
             self.signed_order(
                 2, make_content("r1"), "replay"
             ): ResultCode.BUNDLE_VERSION_TAKEN,
--- a/tests/test_distribution/test_scale_out.py
+++ b/tests/test_distribution/test_scale_out.py
@@ -29,7 +29,7 @@
     step limits the share.
     """
 
-    per_centre = 3
+    vms_per_data_centre = 3
 
     def test_joining_nodes_start_at_the_current_step(self) -> None:
         self.run_async(self._run_join, TEST_TIMEOUT_S)
--- a/tests/test_distribution/test_store_faults.py
+++ b/tests/test_distribution/test_store_faults.py
@@ -15,7 +15,7 @@
 from marigoldchute.objectstore.client import HttpObjectStore
 from marigoldchute.objectstore.settings import StoreSettings
 from marigoldchute.standins.loopback import STORE_PORT
-from marigoldchute.standins.store import READS_PER_S, StoreFaults
+from marigoldchute.standins.store import MAX_READS_PER_S, StoreFaults
 from tests.support.rolls import TEST_TIMEOUT_S, WAIT_TIMEOUT_S, RollTestCase
 from tests.test_bundle.bundles import make_content
 
@@ -152,8 +152,8 @@
 
 
 class MassRestartTest(RollTestCase):
-    centres = 4
-    per_centre = 3
+    data_centre_count = 4
+    vms_per_data_centre = 3
 
     def test_mass_restart_stays_within_the_rate_limits_of_the_store(self) -> None:
         self.run_async(self._restart_all_nodes, TEST_TIMEOUT_S)
@@ -166,13 +166,13 @@
         await self.wait_for_version(2)
         for name in self.node_names:
             self.mesh.kill(name)
-        before = await self.mesh.store_calls()
+        before = await self.mesh.store_call_counts()
         for name in self.node_names:
             self.mesh.start_node(name)
         await self.wait_for_version(2)
-        calls = await self.mesh.store_calls()
+        calls = await self.mesh.store_call_counts()
         self.assertEqual(calls.refused, 0)
-        self.assertLess(calls.peak_reads_per_s, READS_PER_S)
+        self.assertLess(calls.peak_reads_per_s, MAX_READS_PER_S)
         self.assertLess(calls.read - before.read, 20 * len(self.node_names))
         for name in self.node_names:
             self.assertEqual(self.versions_in_force(name)[-1], 2)
--- a/tests/test_hosted/test_catalog.py
+++ b/tests/test_hosted/test_catalog.py
@@ -8,7 +8,7 @@
 from marigoldchute.bundle.inforce import InForce
 from marigoldchute.bundle.model import BundleContent, Route, RoutePart, Service
 from marigoldchute.errors import BundleError, PeerError
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.hosted.catalog import (
     Catalog,
     Snapshot,
@@ -77,7 +77,7 @@
 class InForceTest(unittest.TestCase):
     def setUp(self) -> None:
         self.in_force = InForce()
-        self.catalog = Catalog(self.in_force, EventSink())
+        self.catalog = Catalog(self.in_force, MemoryEventLog())
         self.rng = random.Random(1)
 
     def test_snapshot_with_lower_revision_is_ignored(self) -> None:
--- a/tests/test_hosted/test_directory.py
+++ b/tests/test_hosted/test_directory.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.hosted.directory import MAX_FULL_MESH_MEMBERS, Directory
 from marigoldchute.membership.model import BackendServer, Member, MemberState
 from marigoldchute.overlay.records import RecordKind, RecordTable
@@ -22,7 +22,7 @@
     return Directory(
         make_member(name, incarnation),
         table or RecordTable(),
-        EventSink(),  # type: ignore[arg-type]
+        MemoryEventLog(),  # type: ignore[arg-type]
     )
 
 
--- a/tests/test_hosted/test_registry.py
+++ b/tests/test_hosted/test_registry.py
@@ -6,7 +6,7 @@
 import unittest
 from typing import TYPE_CHECKING
 
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.hosted.registry import LocalRegistry, StateReport
 from marigoldchute.overlay.records import RecordKind, RecordTable
 
@@ -33,7 +33,9 @@
 
     def make_registry(self, table: RecordTable) -> LocalRegistry:
         self.servers: tuple[BackendServer, ...] = ()
-        return LocalRegistry("vm", table, self.store_servers, EventSink(), EXPIRY_S)
+        return LocalRegistry(
+            "vm", table, self.store_servers, MemoryEventLog(), EXPIRY_S
+        )
 
     def store_servers(self, servers: tuple[BackendServer, ...]) -> None:
         self.servers = servers
--- a/tests/test_hosted/test_relay.py
+++ b/tests/test_hosted/test_relay.py
@@ -13,7 +13,7 @@
 from marigoldchute.bundle.inforce import InForce
 from marigoldchute.bundle.model import BundleContent, Route, Service
 from marigoldchute.errors import PeerError
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.hosted.catalog import Catalog, Snapshot, make_snapshot
 from marigoldchute.hosted.relay import REOFFER_INTERVAL_S, BundleRelay
 from marigoldchute.link.handlers import Handlers
@@ -66,12 +66,12 @@
         self.name = name
         self.nursery = nursery
         self.links: list[FakeLink] = []
-        self.catalog = Catalog(InForce(), EventSink())  # type: ignore[arg-type]
+        self.catalog = Catalog(InForce(), MemoryEventLog())  # type: ignore[arg-type]
         self._handlers = Handlers()
         overlay: Any = types.SimpleNamespace(
             neighbour_listeners=[], neighbours=lambda: self.links
         )
-        log: Any = EventSink()
+        log: Any = MemoryEventLog()
         self.relay = BundleRelay(
             self.catalog, overlay, self._handlers, log, random.Random(1)
         )
--- a/tests/test_link/test_stats.py
+++ b/tests/test_link/test_stats.py
@@ -8,7 +8,7 @@
 
 
 class NodeStatsTest(MeshTestCase):
-    centres = 1
+    data_centre_count = 1
 
     def test_stats_report_control_bytes_links_cpu_time_and_memory(self) -> None:
         self.run_async(self._check_stats, 30)
--- a/tests/test_membership/test_announcement.py
+++ b/tests/test_membership/test_announcement.py
@@ -7,7 +7,7 @@
 
 from marigoldchute.config import NodeSettings, StoreSettings
 from marigoldchute.errors import ResultCode
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.membership.announcement import AnnouncementError, handle_announcement
 from marigoldchute.membership.model import MemberState
 from marigoldchute.membership.service import ANNOUNCEMENT_TTL_S, Membership
@@ -28,7 +28,7 @@
     cfg = NodeSettings(
         "vm-1", ADDRESS, "dc", "region", StoreSettings("127.0.0.1", 9000), ()
     )
-    log = EventSink()
+    log = MemoryEventLog()
     return Membership(cfg, 1, RecordTable(), log)  # type: ignore[arg-type]
 
 
--- a/tests/test_membership/test_cuts.py
+++ b/tests/test_membership/test_cuts.py
@@ -19,8 +19,8 @@
 
 
 class PartitionTest(MembershipTestCase):
-    per_centre = 3
-    proxied = True
+    vms_per_data_centre = 3
+    uses_proxy = True
 
     def test_partitioned_data_centre_is_unreachable_and_keeps_serving(self) -> None:
         self.run_async(self._partition_data_centre, 80)
@@ -29,7 +29,7 @@
         self.start_nodes()
         await self.wait_for_all(NORTE + MUELLE)
         await trio.sleep(SETTLE_S)
-        await self.mesh.set_faults(
+        await self.mesh.set_proxy_rules(
             Rule("limon", "cartago", Action.DROP), Rule("limon", "store", Action.DROP)
         )
         for name in MUELLE:
@@ -38,7 +38,7 @@
         await trio.sleep(SETTLE_S)
         for name in NORTE + MUELLE:
             self.assertEqual(await self.refusal_code(name), NO_BUNDLE_CODE)
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
         await self.wait_for_all(NORTE + MUELLE)
         self.assertEqual(self.events("gone"), [])
         self.assertEqual(self.events("fenced"), [])
@@ -49,7 +49,7 @@
     async def _partition_at_start(self) -> None:
         self.start_nodes()
         await self.wait_for_all(NORTE + MUELLE)
-        await self.mesh.set_faults(Rule("limon", "cartago", Action.DROP))
+        await self.mesh.set_proxy_rules(Rule("limon", "cartago", Action.DROP))
         for name in MUELLE:
             await self.wait_for_state(NORTE[0], name, "unreachable")
         for name in NORTE:
@@ -57,7 +57,7 @@
         path = self.write_bundle(BUNDLE)
         self.assertEqual((await self.roll(path, NORTE[0]))[0], 0)
         await trio.sleep(MAX_DIAL_S)
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
         await self.wait_for_all(NORTE + MUELLE)
         for name in MUELLE:
             await self.mesh.wait_until(name, lambda s: s.version == 1)
--- a/tests/test_membership/test_herd.py
+++ b/tests/test_membership/test_herd.py
@@ -6,8 +6,8 @@
 
 
 class MassRestartTest(MembershipTestCase):
-    centres = 2
-    per_centre = 4
+    data_centre_count = 2
+    vms_per_data_centre = 4
 
     def test_members_agree_after_half_are_killed_and_after_all_restart(self) -> None:
         self.run_async(self._kill_and_restart, 90)
--- a/tests/test_membership/test_leaving.py
+++ b/tests/test_membership/test_leaving.py
@@ -12,8 +12,8 @@
 
 
 class LeavingTest(MembershipTestCase):
-    centres = 1
-    per_centre = 3
+    data_centre_count = 1
+    vms_per_data_centre = 3
 
     def test_killed_member_is_gone_and_returns_with_a_later_incarnation(self) -> None:
         self.run_async(self._kill_and_restart, 60)
--- a/tests/test_membership/test_pause.py
+++ b/tests/test_membership/test_pause.py
@@ -19,8 +19,8 @@
 
 
 class PauseTest(MembershipTestCase):
-    centres = 1
-    per_centre = 3
+    data_centre_count = 1
+    vms_per_data_centre = 3
 
     def test_paused_member_is_gone_and_rejoins_with_a_later_incarnation(self) -> None:
         self.run_async(self._pause, 90)
--- a/tests/test_membership/test_records.py
+++ b/tests/test_membership/test_records.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from marigoldchute.config import NodeSettings, StoreSettings
-from marigoldchute.events import EventSink, wall_clock_ms
+from marigoldchute.events import MemoryEventLog, wall_clock_ms
 from marigoldchute.membership.claims import claim_record, own_record
 from marigoldchute.membership.model import Member, MemberState
 from marigoldchute.membership.service import TOMBSTONE_TTL_MS, Membership
@@ -23,7 +23,7 @@
     cfg = NodeSettings(
         "a", "127.0.0.1", "dc", "region", StoreSettings("127.0.0.1", 9000), ()
     )
-    log = EventSink()
+    log = MemoryEventLog()
     return Membership(cfg, 10, table, log)  # type: ignore[arg-type]
 
 
--- a/tests/test_membership/test_seeds.py
+++ b/tests/test_membership/test_seeds.py
@@ -11,8 +11,8 @@
 
 
 class SeedsTest(MembershipTestCase):
-    centres = 1
-    per_centre = 3
+    data_centre_count = 1
+    vms_per_data_centre = 3
 
     def test_nodes_join_through_the_store_or_through_settings_without_it(
         self,
--- a/tests/test_membership/test_single_faults.py
+++ b/tests/test_membership/test_single_faults.py
@@ -18,9 +18,9 @@
 
 
 class SingleLinkTest(MembershipTestCase):
-    per_centre = 3
-    centres = 1
-    proxied = True
+    vms_per_data_centre = 3
+    data_centre_count = 1
+    uses_proxy = True
 
     def test_partition_between_two_members_changes_no_state(self) -> None:
         self.run_async(self._partition_pair, 60)
@@ -28,7 +28,7 @@
     async def _partition_pair(self) -> None:
         self.start_nodes()
         await self.wait_for_all(MEMBERS)
-        await self.mesh.set_faults(Rule(FIRST, SECOND, Action.DROP))
+        await self.mesh.set_proxy_rules(Rule(FIRST, SECOND, Action.DROP))
         await trio.sleep(5)
         await self.wait_for_all(MEMBERS)
         self.assertEqual(self.events("claim"), [])
@@ -40,7 +40,7 @@
         self.start_nodes()
         await self.wait_for_all(MEMBERS)
         await trio.sleep(1)
-        await self.mesh.set_faults(Rule("*", "*", Action.SILENCE))
+        await self.mesh.set_proxy_rules(Rule("*", "*", Action.SILENCE))
         await trio.sleep(3)
         before = await self.mesh.admin(FIRST).stats()
         await trio.sleep(1.5)
@@ -56,13 +56,13 @@
         self.start_nodes()
         await self.wait_for_all(MEMBERS)
         await trio.sleep(SETTLE_S)
-        await self.mesh.set_faults(Rule(FIRST, "*", Action.DROP))
+        await self.mesh.set_proxy_rules(Rule(FIRST, "*", Action.DROP))
         with trio.fail_after(14):
             while await self.refusal_code(FIRST) != FENCED_CODE:
                 await trio.sleep(0.1)
         await self.wait_for_state(SECOND, FIRST, "unreachable")
         self.assertEqual(await self.refusal_code(SECOND), NO_BUNDLE_CODE)
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
         with trio.fail_after(10):
             while await self.refusal_code(FIRST) != NO_BUNDLE_CODE:
                 await trio.sleep(0.1)
--- a/tests/test_moves/test_truth.py
+++ b/tests/test_moves/test_truth.py
@@ -50,7 +50,7 @@
 
 
 class MoveMeshTestCase(MeshTestCase):
-    proxied = True
+    uses_proxy = True
 
     async def start_move(
         self, complete_within_ms: int, watch_ms: int = 500, first_hold_ms: int = 500
@@ -120,7 +120,7 @@
 
     async def _partition(self) -> None:
         await self.start_move(6000, watch_ms=1500)
-        await self.mesh.set_faults(
+        await self.mesh.set_proxy_rules(
             Rule("limon-muelle", "cartago", Action.DROP),
             Rule("limon-muelle", "store", Action.DROP),
         )
@@ -129,13 +129,13 @@
         await trio.sleep(1)
         later = await self.wait_for_verdict(NORTE, "taking back", "taken back")
         self.assertEqual(later.verdict, "taking back")
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
         final = await self.wait_for_verdict(NORTE, "taken back")
         self.assertEqual((final.unconfirmed, final.highest_share), (0, 0.0))
 
 
 class OperatorTest(MoveMeshTestCase):
-    proxied = False
+    uses_proxy = False
 
     def test_cancelled_move_is_taken_back_on_every_node(self) -> None:
         self.run_async(self._cancel, 40)
@@ -150,7 +150,7 @@
 
 
 class MemberTest(MoveMeshTestCase):
-    proxied = False
+    uses_proxy = False
 
     def test_move_unconfirmed_at_deadline_is_taken_back(self) -> None:
         self.run_async(self._unconfirmed, 40)
@@ -184,7 +184,7 @@
 
 
 class FaultTest(MoveMeshTestCase):
-    proxied = False
+    uses_proxy = False
 
     def test_faulty_release_is_taken_back(self) -> None:
         self.run_async(self._faulty, 55)
--- a/tests/test_objectstore/test_client.py
+++ b/tests/test_objectstore/test_client.py
@@ -17,7 +17,7 @@
 from marigoldchute.objectstore.api import CREATE_ONLY
 from marigoldchute.objectstore.client import HttpObjectStore
 from marigoldchute.objectstore.conditional import Creation, create_once
-from marigoldchute.standins.store import READS_PER_S, Store, StoreFaults
+from marigoldchute.standins.store import MAX_READS_PER_S, Store, StoreFaults
 from tests.support.stores import served_store
 
 Body = Callable[[Store, HttpObjectStore], Awaitable[None]]
@@ -124,7 +124,7 @@
         async def body(store: Store, client: HttpObjectStore) -> None:
             now = int(trio.current_time()) + 0.5
             admitted = [store.meter.admit(False, True, now) for _ in range(2100)]
-            self.assertEqual(sum(admitted), READS_PER_S)
+            self.assertEqual(sum(admitted), MAX_READS_PER_S)
             self.assertEqual(store.meter.counts.refused, 100)
             self.assertEqual(store.meter.counts.watch, 2100)
 
--- a/tests/test_orders/test_outcomes.py
+++ b/tests/test_orders/test_outcomes.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.membership.model import BackendServer, Member
 from marigoldchute.orders.book import OrderBook
 from marigoldchute.orders.model import OrderStage, OrderState
@@ -54,7 +54,7 @@
         self.books = []
         self.counters = []
         for _ in range(nodes):
-            book = OrderBook(FakeMembers("v1", "v2"), RecordTable(), EventSink())  # type: ignore[arg-type]
+            book = OrderBook(FakeMembers("v1", "v2"), RecordTable(), MemoryEventLog())  # type: ignore[arg-type]
             book.publish(ORDER)
             self.books.append(book)
             self.counters.append(OutcomeCounter(book))
@@ -354,7 +354,7 @@
     """Traffic split of a service by the state of its order."""
 
     def make_book(self, *releases: str) -> OrderBook:
-        return OrderBook(FakeMembers(*releases), RecordTable(), EventSink())  # type: ignore[arg-type]
+        return OrderBook(FakeMembers(*releases), RecordTable(), MemoryEventLog())  # type: ignore[arg-type]
 
     def test_release_without_an_order_gets_no_requests(self) -> None:
         book = self.make_book("v1", "v1", "v2", "v2")
--- a/tests/test_overlay/test_duty_log.py
+++ b/tests/test_overlay/test_duty_log.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.membership.model import Member, MemberState
 from marigoldchute.overlay.duties import COLLECTOR, DRIVER, Duties
 from marigoldchute.overlay.duty_log import DutyLog
@@ -28,7 +28,7 @@
 
 class DutyLogTest(unittest.TestCase):
     def test_each_change_of_a_duty_is_logged_once(self) -> None:
-        members, log = FakeMembers(), EventSink()
+        members, log = FakeMembers(), MemoryEventLog()
         duty_log = DutyLog(members, Duties(members), log)
         duty_log.check()
         duty_log.check()
--- a/tests/test_path/test_storm.py
+++ b/tests/test_path/test_storm.py
@@ -45,9 +45,9 @@
 
 
 class FaultStormTest(MeshTestCase):
-    centres = 4
-    per_centre = 2
-    proxied = True
+    data_centre_count = 4
+    vms_per_data_centre = 2
+    uses_proxy = True
 
     def setUp(self) -> None:
         super().setUp()
@@ -107,7 +107,7 @@
 
     async def _cut_data_centre(self) -> None:
         data_centre = self.rng.choice(self.mesh.plan.vms).data_centre
-        await self.mesh.set_faults(
+        await self.mesh.set_proxy_rules(
             *(
                 Rule(data_centre, other, Action.DROP)
                 for other in {vm.data_centre for vm in self.mesh.plan.vms}
@@ -115,12 +115,12 @@
             )
         )
         await trio.sleep(FAULT_DURATION_S)
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
 
     async def _silence_all_links(self) -> None:
-        await self.mesh.set_faults(Rule("*", "*", Action.SILENCE))
+        await self.mesh.set_proxy_rules(Rule("*", "*", Action.SILENCE))
         await trio.sleep(FAULT_DURATION_S)
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
 
     async def _store_outage(self) -> None:
         await self.mesh.set_store_faults(StoreFaults(down=True))
@@ -183,7 +183,7 @@
         self.records.append(CallRecord(key, size, outcome, content))
 
     async def _wait_until_recovered(self, names: list[str]) -> None:
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
         await self.mesh.set_store_faults(StoreFaults())
         await self.mesh.wait_until(
             names[0],
--- a/tests/test_routing/paths.py
+++ b/tests/test_routing/paths.py
@@ -34,8 +34,8 @@
 class PathTestCase(MeshTestCase):
     """Runs two VMs of one data centre."""
 
-    centres = 1
-    per_centre = 2
+    data_centre_count = 1
+    vms_per_data_centre = 2
 
     async def start_path(
         self, *backend_vms: str, service_ms: float = 2.0, slots: int = 12
--- a/tests/test_routing/test_dialect.py
+++ b/tests/test_routing/test_dialect.py
@@ -13,7 +13,7 @@
 from marigoldchute.routing.messages import RequestHead
 from marigoldchute.routing.owner import Owner
 from marigoldchute.routing.policy import PathPolicy
-from tests.support.servers import listening, read_request
+from tests.support.servers import read_request, serve_script
 from tests.test_routing.test_owner import CollectingExchange, FakeServers, make_head
 
 DIALECT = dataclasses.replace(
@@ -82,7 +82,10 @@
     def run_owner(self, script, body) -> None:  # type: ignore[no-untyped-def]
         async def main() -> None:
             with trio.fail_after(10):
-                async with listening(script) as address, trio.open_nursery() as nursery:
+                async with (
+                    serve_script(script) as address,
+                    trio.open_nursery() as nursery,
+                ):
                     servers = FakeServers(address)
                     server = dataclasses.replace(servers.local.servers[0], instance="i")
                     servers.local = dataclasses.replace(
--- a/tests/test_routing/test_failures.py
+++ b/tests/test_routing/test_failures.py
@@ -50,24 +50,28 @@
 
 
 class SilentLinkTest(PathTestCase):
-    proxied = True
+    uses_proxy = True
 
     def test_silent_link_never_duplicates_requests_and_recovers(self) -> None:
         self.run_async(self._check_silent_link, 50)
 
     async def _check_silent_link(self) -> None:
         await self.start_path(SECOND)
-        await self.mesh.set_faults(Rule(FIRST, SECOND, Action.DROP, both_ways=False))
+        await self.mesh.set_proxy_rules(
+            Rule(FIRST, SECOND, Action.DROP, both_ways=False)
+        )
         response = await self.post(FIRST, "out", deadline_ms=600)
         self.assertEqual(outcome_of(response), "unknown")
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
         await self.wait_routed()
-        await self.mesh.set_faults(Rule(SECOND, FIRST, Action.DROP, both_ways=False))
+        await self.mesh.set_proxy_rules(
+            Rule(SECOND, FIRST, Action.DROP, both_ways=False)
+        )
         response = await self.post(FIRST, "back", deadline_ms=600)
         self.assertEqual(outcome_of(response), "unknown")
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
         await self.wait_routed()
-        await self.mesh.set_faults(Rule(FIRST, SECOND, Action.SILENCE))
+        await self.mesh.set_proxy_rules(Rule(FIRST, SECOND, Action.SILENCE))
         response = await self.post(FIRST, "lost", deadline_ms=600)
         self.assertEqual(outcome_of(response), "unknown")
         await self.wait_routed()
--- a/tests/test_routing/test_owner.py
+++ b/tests/test_routing/test_owner.py
@@ -12,7 +12,7 @@
 from marigoldchute.routing import backend_conn
 from marigoldchute.routing.messages import ENCODER, RequestHead, ResponseHead
 from marigoldchute.routing.owner import Owner
-from tests.support.servers import PORT, listening, read_request
+from tests.support.servers import PORT, read_request, serve_script
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -89,7 +89,10 @@
     ) -> None:
         async def main() -> None:
             with trio.fail_after(10):
-                async with listening(script) as address, trio.open_nursery() as nursery:
+                async with (
+                    serve_script(script) as address,
+                    trio.open_nursery() as nursery,
+                ):
                     owner = Owner(FakeServers(address, self.slots), address)
                     await nursery.start(owner.run)
                     await body(owner)
--- a/tests/test_routing/test_request_log.py
+++ b/tests/test_routing/test_request_log.py
@@ -6,7 +6,7 @@
 import unittest
 from typing import TYPE_CHECKING, Any, cast
 
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.routing.request_log import (
     DROPPED_REPORT_INTERVAL_S,
     FAILED_BURST_LINES,
@@ -40,7 +40,7 @@
     """Server errors are logged with the request id and the backend server."""
 
     def setUp(self) -> None:
-        self.sink = EventSink()
+        self.sink = MemoryEventLog()
         self.log = RequestLog(self.sink)  # type: ignore[arg-type]
 
     def logged_fields(self, event: str) -> list[dict[str, Any]]:
--- a/tests/test_routing/test_tries.py
+++ b/tests/test_routing/test_tries.py
@@ -19,7 +19,7 @@
     Service,
 )
 from marigoldchute.errors import NotRunError, RequestError, ResultCode
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.membership.model import BackendServer, Member
 from marigoldchute.moves.model import Split
 from marigoldchute.routing.entry import Entry
@@ -152,7 +152,7 @@
             self.owner,  # type: ignore[arg-type]
             LeastExpectedTime(random.Random(1)),
             FakeSink(),
-            EventSink(),  # type: ignore[arg-type]
+            MemoryEventLog(),  # type: ignore[arg-type]
             Clock(),
             random.Random(1),
             policy=POLICY,
