--- a/marigoldchute/routing/owner.py
+++ b/marigoldchute/routing/owner.py
@@ -14,8 +14,8 @@
     ResultCode,
 )
 from marigoldchute.routing.admission import AdmissionGate
+from marigoldchute.routing.backend_attempt import BackendAttempt
 from marigoldchute.routing.backend_conn import BackendConnPool
-from marigoldchute.routing.backend_run import BackendAttempt
 from marigoldchute.routing.dialect import DEFAULT_DIALECT, Dialect
 from marigoldchute.routing.exchange import StreamExchange
 from marigoldchute.routing.messages import ENCODER, REQUEST_DECODER, ResponseHead
