--- a/marigoldchute/hosted/node.py
+++ b/marigoldchute/hosted/node.py
@@ -58,8 +58,8 @@
 MESH_SECRET = b"marigoldchute hosted mesh"
 LINK_HEARTBEAT_MS = 500  # A link is closed after three missed heartbeats, 1.5 s.
 MAX_BUFFERED_RESPONSE_BYTES = 262_144
-EXPIRY_INTERVAL_S = 0.25
-LEAVE_FLOOD_S = 0.05
+CHECK_INTERVAL_S = 0.25
+LEAVE_PROPAGATION_S = 0.05
 PEERS_TIMEOUT_S = 1.5
 # A few round trips between regions: opening a link, comparison and difference.
 PEERS_SYNC_S = 0.4
@@ -146,7 +146,7 @@
             handlers,
             log.clock,
             LINK_HEARTBEAT_MS,
-            self._handle_link,
+            self._handle_accepted_link,
         )
         self._overlay = Overlay(self._link_endpoint, handlers, table, rng)
         address_of = self.directory.address_of
@@ -270,7 +270,9 @@
                 self._serve, self._metrics_edge, Endpoint(cfg.address, cfg.metrics_port)
             )
             nursery.start_soon(self._driver.run)
-            self._log.emit("node", "started", f"{cfg.name} serves on {cfg.address}.")
+            self._log.emit(
+                "node", "started", f"{cfg.name} is serving on {cfg.address}."
+            )
             await self._wait_for_peers()
             self._reader_duty.start_timeout(trio.current_time())
             await self._reader.run()
@@ -292,7 +294,7 @@
 
     async def _announce_leave(self) -> None:
         self.directory.leave(self._clock.now_ms())
-        await trio.sleep(LEAVE_FLOOD_S)
+        await trio.sleep(LEAVE_PROPAGATION_S)
         if not self._registry.has_server:
             await self._discovery.remove_entry()
         await self._link_endpoint.flush()
@@ -308,7 +310,7 @@
     async def _expire_servers(self) -> None:
         while True:
             self._registry.expire(trio.current_time())
-            await trio.sleep(EXPIRY_INTERVAL_S)
+            await trio.sleep(CHECK_INTERVAL_S)
 
     def _metrics_snapshot(self) -> NodeSnapshot:
         from marigoldchute.admin.metrics import MoveShare, NodeCounts, NodeSnapshot
@@ -336,7 +338,7 @@
             ),
         )
 
-    def _handle_link(self, link: Link) -> None:
+    def _handle_accepted_link(self, link: Link) -> None:
         if link.purpose == "control":
             self._overlay.accept(link)
 
