--- a/marigoldchute/platform/__main__.py
+++ b/marigoldchute/platform/__main__.py
@@ -16,7 +16,7 @@
 from marigoldchute.platform.settings import read_settings, settings_path
 
 RELOAD_INTERVAL_S = 2.0  # The settings file may change without a SIGHUP.
-GC_ALLOCATIONS = 20_000
+GC_THRESHOLD_0 = 20_000
 
 
 async def _run(node: HostedNode, path: str, log: EventLog) -> None:
@@ -69,7 +69,7 @@
     node = HostedNode(cfg, PlatformAdapter(cfg, rng), log, rng)
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_ALLOCATIONS)
+    gc.set_threshold(GC_THRESHOLD_0)
     trio.run(_run, node, path, log)
     return 0
 
--- a/marigoldchute/platform/control.py
+++ b/marigoldchute/platform/control.py
@@ -93,7 +93,7 @@
                 return
         path = req.target.decode("latin-1")
         if req.method != b"POST" or not path.startswith(INSTANCES_PREFIX):
-            await _send_response(responder, 404, "unknown path or operation")
+            await _send_response(responder, 404, "no such call")
             return
         instance, _, operation = path[len(INSTANCES_PREFIX) :].partition("/")
         if operation == "heartbeat":
@@ -102,7 +102,7 @@
             self._registry.handle_deregistration(instance, self._clock.now_ms())
             error = ""
         else:
-            await _send_response(responder, 404, "unknown path or operation")
+            await _send_response(responder, 404, "no such call")
             return
         await _send_response(responder, 400 if error else 200, error)
 
@@ -115,13 +115,13 @@
         address, _, port = decoded.address.rpartition(":")
         backend = self._backend()
         if (address, port) != (backend.address, str(backend.port)):
-            return f"{decoded.address} is not the address of this VM's backend server"
+            return f"{decoded.address} is not on this VM"
         info, status = decoded.info, decoded.status
         draining = _IS_DRAINING.get(status.state)
         if draining is None:
-            return f"state {status.state!r} is unknown"
+            return f"state {status.state!r} is not known"
         if not instance or not info.service or not 1 <= info.slots <= MAX_SLOTS:
-            return "instance id, service or slots is invalid"
+            return "id, service or slots is not allowed"
         report = StateReport(
             instance,
             decoded.born,
--- a/tests/support/documents.py
+++ b/tests/support/documents.py
@@ -150,7 +150,7 @@
     async def _watch(self, kind: str, query: dict[str, str]) -> tuple[int, Any]:
         after_revision = int(query["watch"])
         if after_revision < self._compacted_revision:
-            return 410, {"error": "history was compacted"}
+            return 410, {"error": "history is gone"}
         events: list[dict[str, Any]] = []
         with trio.move_on_after(int(query.get("wait_ms", "0")) / 1000):
             while not events:
