--- a/marigoldchute/cmd/timeline.py
+++ b/marigoldchute/cmd/timeline.py
@@ -109,7 +109,7 @@
             else:
                 print(format_event(event))
         if timeline.skipped_lines:
-            print(f"{timeline.skipped_lines} lines are no events", file=sys.stderr)
+            print(f"{timeline.skipped_lines} lines are not events", file=sys.stderr)
 
     def _build_filter(self) -> EventFilter:
         return EventFilter(
--- a/tests/test_events/test_timeline.py
+++ b/tests/test_events/test_timeline.py
@@ -183,7 +183,7 @@
         self.path.write_bytes(log_line("vm-1", 1) + b"\nhalf a line")
         status, out, err = self.run_program(str(self.path))
         self.assertEqual((status, out.count("\n")), (0, 1))
-        self.assertIn("1 lines are no events", err)
+        self.assertIn("1 lines are not events", err)
 
     def test_exit_status_of_invalid_arguments_is_the_class_of_the_code(self) -> None:
         self.path.touch()
