--- a/marigoldchute/admin/client.py
+++ b/marigoldchute/admin/client.py
@@ -80,7 +80,7 @@
             httpcore.TimeoutException,
         ) as exc:
             detail = str(exc) or type(exc).__name__
-            raise PeerError(f"node {self._address} did not answer: {detail}") from exc
+            raise PeerError(f"node {self._address} did not respond: {detail}") from exc
         if response.status != 200:
             raise self._decode_failure(response)
         try:
--- a/tests/test_cmd/test_ctl.py
+++ b/tests/test_cmd/test_ctl.py
@@ -159,7 +159,7 @@
                 status, _, err = self.run_program(*args)
                 self.assertEqual(status, 4)
                 self.assertIn("401 PEER_UNREACHABLE", err)
-                self.assertIn("127.0.0.1:1 did not answer", err)
+                self.assertIn("127.0.0.1:1 did not respond", err)
 
     def test_errors_are_printed_as_json_with_json_option(self) -> None:
         err = self.run_program("status", "--node", "x", "--json")[2]
