--- a/marigoldchute/routing/entry.py
+++ b/marigoldchute/routing/entry.py
@@ -274,7 +274,7 @@
             return
         if call.may_have_run:
             raise RequestError(
-                "no whole answer before the deadline",
+                "no complete response before the deadline",
                 ResultCode.REQUEST_OUTCOME_UNKNOWN_DEADLINE,
             )
         raise NotRunError(
--- a/marigoldchute/routing/request_log.py
+++ b/marigoldchute/routing/request_log.py
@@ -80,7 +80,7 @@
         self._log.emit(
             "routing",
             outcome.value,
-            f"{req.target.decode('latin-1')} is not answered: {exc.message}.",
+            f"{req.target.decode('latin-1')} failed: {exc.message}.",
             code=exc.code.value,
             request=request_id,
             **_call_fields(call, now),
@@ -104,7 +104,7 @@
         self._log.emit(
             "routing",
             event,
-            f"{call.req.target.decode('latin-1')} is answered with {status}.",
+            f"{call.req.target.decode('latin-1')} got status {status}.",
             request=call.request_id,
             status=status,
             sample_of=SAMPLE_EVERY if event == "sampled" else 1,
--- a/tests/test_path/test_storm.py
+++ b/tests/test_path/test_storm.py
@@ -33,7 +33,7 @@
     size : int
         Bytes of its body.
     outcome : str
-        ``answered``, ``not-run``, ``unknown``, or ``nothing`` without a response.
+        ``completed``, ``not-run``, ``unknown``, or ``nothing`` without a response.
     content : bytes
         Body of the response.
     """
@@ -57,7 +57,7 @@
     def test_requests_run_at_most_once_and_refused_ones_never(self) -> None:
         self.run_async(self._storm, 110)
         outcomes = {item.outcome for item in self.records}
-        self.assertIn("answered", outcomes)
+        self.assertIn("completed", outcomes)
 
     async def _storm(self) -> None:
         self.start_nodes()
@@ -176,7 +176,7 @@
                 )
                 headers = dict(response.headers)
                 outcome_header = headers.get(b"marigoldchute-outcome")
-                outcome = outcome_header.decode() if outcome_header else "answered"
+                outcome = outcome_header.decode() if outcome_header else "completed"
                 content = response.content
         except (httpcore.NetworkError, httpcore.ProtocolError):
             pass
@@ -217,7 +217,7 @@
         for item in self.records:
             if item.outcome == "not-run":
                 self.assertEqual(runs.get(item.key, 0), 0, item)
-            elif item.outcome == "answered":
+            elif item.outcome == "completed":
                 self.assertEqual(runs.get(item.key, 0), 1, item)
                 expected = b"r1 /reservas/%s %d\n" % (item.key.encode(), item.size)
                 self.assertEqual(item.content, expected)
--- a/tests/test_routing/paths.py
+++ b/tests/test_routing/paths.py
@@ -111,6 +111,6 @@
 
 
 def outcome_of(response: httpcore.Response) -> str:
-    """Return the value of a response's outcome header, or ``answered``."""
-    value = dict(response.headers).get(b"marigoldchute-outcome", b"answered")
+    """Return the value of a response's outcome header, or ``completed``."""
+    value = dict(response.headers).get(b"marigoldchute-outcome", b"completed")
     return value.decode()
--- a/tests/test_routing/test_drain.py
+++ b/tests/test_routing/test_drain.py
@@ -37,8 +37,8 @@
             self.assertEqual(process.returncode, 0)
             await trio.sleep(0.3)
             stop.set()
-        self.assertEqual(set(counts), {"200 answered"})
-        self.assertGreater(counts["200 answered"], 50)
+        self.assertEqual(set(counts), {"200 completed"})
+        self.assertGreater(counts["200 completed"], 50)
         events = (self.mesh.directory / f"{SECOND}.log").read_text()
         self.assertIn("has drained", events)
 
