--- a/bench/bench_evidence.py
+++ b/bench/bench_evidence.py
@@ -43,7 +43,7 @@
     per_s : float
         Requests a second of the service in each data centre.
     error, slow : float
-        Share of failures and of slow answers that the new release has beyond the old.
+        Share of failures and of slow responses that the new release has beyond the old.
     both : float
         Share of failures of both releases from half time on.
     routes : tuple of int
--- a/bench/bench_moves.py
+++ b/bench/bench_moves.py
@@ -67,7 +67,7 @@
     slots : int
         Slots of a backend server.
     service_ms : float
-        Time that an answer takes.
+        Time that a response takes.
     """
 
     name: str
@@ -98,7 +98,7 @@
     agrees : bool
         Whether every node's share is what the verdict says.
     harmed : int
-        Requests that the new release failed, or answered late when it is slow.
+        Requests that the new release failed, or responded to late when it is slow.
     zero_after_ms : int or None
         Time from the first fault seen to share zero on every node.
     done_after_ms : int or None
--- a/bench/bench_path.py
+++ b/bench/bench_path.py
@@ -1,6 +1,6 @@
 """Latency that the request path adds to a call, beside a direct call in the same run.
 
-One hop: the entry node's own backend server answers. Two hops: the backend server of
+One hop: the entry node's own backend server responds. Two hops: the backend server of
 another VM does. Baseline: one proxy of hypercorn and httpcore. The routes take turns
 in short rounds, so that a busy moment of the machine meets all of them. Prints a table
 and writes bench/results/path.json.
@@ -124,7 +124,7 @@
             raise RuntimeError(done.stderr)
         await mesh.wait_for_port(first.address, BASELINE_PORT)
         for way in self.ways:
-            await _wait_for_answer(way)
+            await _wait_for_response(way)
 
     def _start_baseline(self, address: str) -> None:
         self._baseline = subprocess.Popen(
@@ -181,7 +181,7 @@
         return {name: read_peak_mb(pid) for name, pid in self._pids().items()}
 
 
-async def _wait_for_answer(way: Way) -> None:
+async def _wait_for_response(way: Way) -> None:
     url = f"http://{way.address}:{way.port}{way.path}"
     async with httpcore.AsyncConnectionPool() as pool:
         while (await pool.request("GET", url)).status != 200:
--- a/bench/fault_run.py
+++ b/bench/fault_run.py
@@ -2,7 +2,7 @@
 
 Real processes behind the fault-injecting proxy. Backend servers count each execution by
 idempotency key. Exit status 1 when a request ran twice, a refusal "not run" was false,
-an answer was wrong or short, or more requests ran at once than a backend server has
+a response was wrong or short, or more requests ran at once than a backend server has
 slots. Prints one JSON object and writes bench/results/fault_run.json.
 """
 
@@ -53,7 +53,7 @@
 )
 
 
-class _Answer:
+class _Response:
     def __init__(self) -> None:
         self.outcome = ""
         self.body = b""
@@ -142,8 +142,8 @@
 
     async def _exchange(self, address: str, key: str, size: int) -> str:
         conn = await open_tcp(address, CALLER_PORT, "127.0.0.1")
-        answer = _Answer()
-        parser = httptools.HttpResponseParser(answer)
+        response = _Response()
+        parser = httptools.HttpResponseParser(response)
         try:
             await conn.send(
                 f"POST /reservas/{key} HTTP/1.1\r\nhost: a\r\n"
@@ -151,16 +151,16 @@
                 f"content-length: {size}\r\n\r\n".encode()
                 + bytes(size)
             )
-            while not answer.complete:
+            while not response.complete:
                 data = await conn.receive(65_536)
                 if not data:
                     return "nothing"
                 parser.feed_data(data)
         finally:
             conn.close()
-        if answer.outcome:
-            return answer.outcome
-        if answer.body != b"r1 /reservas/%s %d\n" % (key.encode(), size):
+        if response.outcome:
+            return response.outcome
+        if response.body != b"r1 /reservas/%s %d\n" % (key.encode(), size):
             self.wrong.append(key)
         return f"answered {parser.get_status_code()}"
 
@@ -235,10 +235,12 @@
             max_running = max(max_running, state.max_running)
         told = collections.Counter(self.told.values())
         not_run = [key for key, value in self.told.items() if value == "not-run"]
-        answered = sum(n for name, n in told.items() if name.startswith("answered"))
+        num_responses = sum(
+            n for name, n in told.items() if name.startswith("answered")
+        )
         return {
             "calls": len(self.told),
-            "answered_share": round(answered / len(self.told), 4),
+            "answered_share": round(num_responses / len(self.told), 4),
             "told": dict(told),
             "faults": dict(self.faults),
             "doubled": sum(count > 1 for count in runs.values()),
