--- a/bench/bench_distribution.py
+++ b/bench/bench_distribution.py
@@ -19,7 +19,7 @@
 
 import trio
 
-from marigoldchute.admin.messages import RollOrder
+from marigoldchute.admin.messages import RollRequest
 from marigoldchute.bundle.codec import chunk_digest, encode_manifest, split_content
 from marigoldchute.bundle.model import BundleContent, Route, Service
 from marigoldchute.bundle.signing import sign_manifest
@@ -141,7 +141,7 @@
         for vm in self.mesh.plan.vms:
             self.mesh.start_node(vm.name)
         await self._wait_until_joined()
-        await self.mesh.set_faults(*_network_delay_rules())
+        await self.mesh.set_proxy_rules(*_network_delay_rules())
         await self._roll(1)
         await trio.sleep(LINKS_SETTLE_S)
         idle = await self._measure_idle_rates()
@@ -150,7 +150,7 @@
             await self._roll(version)
         await trio.sleep(SETTLE_S)
         after = await self._read_counters()
-        calls = await self.mesh.store_calls()
+        calls = await self.mesh.store_call_counts()
         return self._summarise(idle, before, after, calls)
 
     async def _wait_until_joined(self) -> None:
@@ -166,7 +166,7 @@
         manifest = sign_manifest(
             version, digests, "ops-1", self.mesh.private_key, "bench", f"t{version}"
         )
-        order = RollOrder(encode_manifest(manifest), tuple(chunks))
+        order = RollRequest(encode_manifest(manifest), tuple(chunks))
         vms = self.mesh.plan.vms
         node = vms[version % len(vms)].name
         self.sent_at_ms[version] = time.time_ns() // 1_000_000
@@ -189,7 +189,7 @@
 
     async def _read_counters(self) -> Counters:
         counts = await self.mesh.byte_counts()
-        calls = await self.mesh.store_calls()
+        calls = await self.mesh.store_call_counts()
         region = [c.bytes for c in counts if c.source_region != c.target_region]
         total = sum(c.bytes for c in counts)
         return Counters(
--- a/bench/bench_move_bytes.py
+++ b/bench/bench_move_bytes.py
@@ -13,18 +13,18 @@
 
 from marigoldchute.moves.model import (
     CellReport,
-    Guidance,
+    CollectorResponse,
+    ConfirmationDigest,
     MemberReport,
     MoveReport,
     MoveSummary,
-    Stand,
     StreamReport,
 )
 from marigoldchute.moves.reporter import (
-    EXCHANGE_PER_CENTRE_S,
-    LATENCIES_EVERY,
+    EXCHANGE_PER_DATA_CENTRE_S,
+    MAX_REPORTS_PER_S,
     REPORT_INTERVAL_S,
-    REPORTS_PER_S,
+    REPORTS_PER_LATENCY_REPORT,
 )
 
 NODE_COUNT, DATA_CENTRE_COUNT, ROUTE_COUNT, LOAD_LEVEL_COUNT = 870, 7, 3, 2
@@ -58,10 +58,10 @@
     mean_report_bytes = (
         _message_bytes(report({}))
         + (_message_bytes(report(latencies)) - _message_bytes(report({})))
-        / LATENCIES_EVERY
+        / REPORTS_PER_LATENCY_REPORT
     )
     guidance_bytes = _message_bytes(
-        [Guidance("turnos-r2", 2, 10**6, 99.5, p95_ms={0: 9.5, 1: 9.5})]
+        [CollectorResponse("turnos-r2", 2, 10**6, 99.5, p95_ms={0: 9.5, 1: 9.5})]
     )
     streams = tuple(
         StreamReport(route, metric, level, (-300, -300, -300, -300))
@@ -72,10 +72,12 @@
     summary_bytes = _message_bytes(
         [MoveSummary("turnos-r2", 10**6, 99.5, False, streams, {0: 9.5})]
     )
-    stand_bytes = _message_bytes([Stand("turnos-r2", 2**63, 2**63, 124)])
+    stand_bytes = _message_bytes([ConfirmationDigest("turnos-r2", 2**63, 2**63, 124)])
     nodes_per_data_centre = NODE_COUNT / DATA_CENTRE_COUNT
-    report_interval_s = max(REPORT_INTERVAL_S, nodes_per_data_centre / REPORTS_PER_S)
-    exchange_interval_s = DATA_CENTRE_COUNT * EXCHANGE_PER_CENTRE_S
+    report_interval_s = max(
+        REPORT_INTERVAL_S, nodes_per_data_centre / MAX_REPORTS_PER_S
+    )
+    exchange_interval_s = DATA_CENTRE_COUNT * EXCHANGE_PER_DATA_CENTRE_S
     member_bytes_per_s = (mean_report_bytes + guidance_bytes) / report_interval_s
     result = {
         "report_bytes": round(mean_report_bytes),
--- a/bench/bench_scale.py
+++ b/bench/bench_scale.py
@@ -18,10 +18,10 @@
 import msgspec
 
 from marigoldchute.config import NodeSettings, StoreSettings
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.membership.model import BackendServer, Member
 from marigoldchute.membership.service import Membership
-from marigoldchute.overlay.records import BUCKETS, Record, RecordKind, RecordTable
+from marigoldchute.overlay.records import NUM_BUCKETS, Record, RecordKind, RecordTable
 from marigoldchute.overlay.topology import rendezvous_order, wanted_peers
 
 if TYPE_CHECKING:
@@ -104,27 +104,27 @@
     """Measure one node with the given number of members."""
     tracemalloc.start()
     table = RecordTable()
-    membership = Membership(_settings(), 1, table, EventSink())  # type: ignore[arg-type]
+    membership = Membership(_settings(), 1, table, MemoryEventLog())  # type: ignore[arg-type]
     for number in range(1, member_count):
         member = _make_member(number)
         body = msgspec.msgpack.encode(member)
-        table.offer(Record(RecordKind.MEMBER, member.name, (1, 6), body))
+        table.apply(Record(RecordKind.MEMBER, member.name, (1, 6), body))
     state_kb = tracemalloc.get_traced_memory()[0] / 1000
     tracemalloc.stop()
     local = membership.local
     records = table.of_kind(RecordKind.MEMBER)
-    bucket = random.Random(1).randrange(BUCKETS)
+    bucket = random.Random(1).randrange(NUM_BUCKETS)
     return NodeMeasurements(
         member_count,
         _mean_cpu_ms(lambda: wanted_peers(local, membership.all())),
         _mean_cpu_ms(lambda: rendezvous_order(membership.all(), "driver")),
         _mean_cpu_ms(lambda: membership.duties.holder("driver")),
-        _mean_cpu_ms(membership.wanted),
+        _mean_cpu_ms(membership.wanted_peers),
         len(wanted_peers(local, membership.all())),
         len(records[1].body),
         round(state_kb, 1),
         round(len(msgspec.msgpack.encode(records)) / 1000, 1),
-        len(msgspec.msgpack.encode(table.ids_in([bucket]))),
+        len(msgspec.msgpack.encode(table.ids_in_buckets([bucket]))),
     )
 
 
--- a/bench/fault_run.py
+++ b/bench/fault_run.py
@@ -131,7 +131,7 @@
                     vm = self._request_rng.choice(self._mesh.plan.vms)
                     callers.start_soon(self._send_request, vm.address, f"call-{number}")
             nursery.cancel_scope.cancel()
-        await self._mesh.set_faults()
+        await self._mesh.set_proxy_rules()
 
     async def _send_request(self, address: str, key: str) -> None:
         size = self._request_rng.randrange(1, 3000)
@@ -212,9 +212,9 @@
         )
 
     async def _apply_rule(self, rule: Rule) -> None:
-        await self._mesh.set_faults(rule)
+        await self._mesh.set_proxy_rules(rule)
         await trio.sleep(FAULT_DURATION_S)
-        await self._mesh.set_faults()
+        await self._mesh.set_proxy_rules()
 
     async def _misbehave(self) -> None:
         name = self._rng.choice(self._backend_vms).name
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -25,13 +25,13 @@
     started_s = time.monotonic()
     failure = ""
     try:
-        soak.play(SOAK_TIMEOUT_S)
+        soak.run(SOAK_TIMEOUT_S)
     except* (trio.TooSlowError, OSError) as group:
         failure = repr(group.exceptions)
-    statuses = collections.Counter(item.status for item in soak.told)
+    statuses = collections.Counter(item.status for item in soak.results)
     return {
         "seed": seed,
-        "lies": soak.lies,
+        "lies": soak.violations,
         "failure": failure,
         "statuses": dict(sorted(statuses.items())),
         "took_s": round(time.monotonic() - started_s, 1),
--- a/marigoldchute/admin/client.py
+++ b/marigoldchute/admin/client.py
@@ -11,7 +11,7 @@
 from marigoldchute.admin.messages import (
     Failure,
     MoveStatus,
-    RollOrder,
+    RollRequest,
     RollResult,
     Status,
 )
@@ -47,7 +47,7 @@
         """Return the resource usage of the node."""
         return await self._call("GET", "/v1/stats", b"", NodeStats)
 
-    async def roll(self, request: RollOrder) -> RollResult:
+    async def roll(self, request: RollRequest) -> RollResult:
         """Submit a signed bundle for rollout."""
         body = msgspec.json.encode(request)
         return await self._call("POST", "/v1/bundles", body, RollResult)
@@ -80,7 +80,7 @@
             httpcore.TimeoutException,
         ) as exc:
             detail = str(exc) or type(exc).__name__
-            raise PeerError(f"node {self._address} did not answer: {detail}") from exc
+            raise PeerError(f"node {self._address} did not respond: {detail}") from exc
         if response.status != 200:
             raise self._decode_failure(response)
         try:
--- a/marigoldchute/admin/service.py
+++ b/marigoldchute/admin/service.py
@@ -11,7 +11,7 @@
     MemberStatus,
     MoveStatus,
     Readiness,
-    RollOrder,
+    RollRequest,
     RollResult,
     Status,
 )
@@ -66,7 +66,7 @@
         self.stats = stats
         self._collect_counts = counts
 
-    async def roll(self, request: RollOrder) -> RollResult:
+    async def roll(self, request: RollRequest) -> RollResult:
         """Validate a signed bundle and write it to the store.
 
         Raises
@@ -128,11 +128,11 @@
                 f"verdict of {move_id} is unknown: {exc.message}",
                 ResultCode.MOVE_VERDICT_UNKNOWN,
             ) from exc
-        return self._move_status(state, await self._reporter.gather())
+        return self._move_status(state, await self._reporter.gather_reports())
 
     async def status(self) -> Status:
         """Return the status of the known members and moves."""
-        reports = await self._reporter.gather()
+        reports = await self._reporter.gather_reports()
         members = tuple(
             MemberStatus(
                 member.name,
@@ -169,7 +169,7 @@
             raise NotRunError(
                 "no bundle is in force yet", ResultCode.REQUEST_NOT_RUN_NO_BUNDLE
             )
-        if not self._membership.local.usable:
+        if not self._membership.local.accepts_requests:
             raise NotRunError(
                 "this node is draining", ResultCode.REQUEST_NOT_RUN_DRAINING
             )
--- a/marigoldchute/hosted/node.py
+++ b/marigoldchute/hosted/node.py
@@ -31,7 +31,7 @@
 from marigoldchute.overlay.records import RecordKind, RecordTable
 from marigoldchute.routing.budget import WindowRetryBudget
 from marigoldchute.routing.entry import Entry
-from marigoldchute.routing.http_server import HttpEdge
+from marigoldchute.routing.http_server import HttpServer
 from marigoldchute.routing.least_time import LeastExpectedTime
 from marigoldchute.routing.owner import Owner
 from marigoldchute.routing.policy import PathPolicy
@@ -57,9 +57,9 @@
 # Only nodes share the network of a hosted mesh; the secret keeps meshes apart.
 MESH_SECRET = b"marigoldchute hosted mesh"
 LINK_HEARTBEAT_MS = 500  # A link is closed after three missed heartbeats, 1.5 s.
-GATHER_BYTES = 262_144
-EXPIRY_INTERVAL_S = 0.25
-LEAVE_FLOOD_S = 0.05
+MAX_BUFFERED_RESPONSE_BYTES = 262_144
+CHECK_INTERVAL_S = 0.25
+LEAVE_PROPAGATION_S = 0.05
 PEERS_TIMEOUT_S = 1.5
 # A few round trips between regions: opening a link, comparison and difference.
 PEERS_SYNC_S = 0.4
@@ -67,7 +67,7 @@
 FIRST_BUNDLE_WAIT_S = 0.7
 POLICY = PathPolicy(
     adaptive_limit=False,
-    gather_bytes=GATHER_BYTES,
+    max_buffered_response_bytes=MAX_BUFFERED_RESPONSE_BYTES,
     retry_errors=True,
     boost_rare_routes=True,
     first_bundle_wait_s=FIRST_BUNDLE_WAIT_S,
@@ -146,7 +146,7 @@
             handlers,
             log.clock,
             LINK_HEARTBEAT_MS,
-            self._handle_link,
+            self._handle_accepted_link,
         )
         self._overlay = Overlay(self._link_endpoint, handlers, table, rng)
         address_of = self.directory.address_of
@@ -213,18 +213,18 @@
             ),
             lambda: self._cfg.service,
         )
-        handlers.stream = self._owner.serve
+        handlers.stream_handler = self._owner.serve
         control, readiness = adapter.control_handlers(
             self._registry, lambda: self._cfg.backend, self.is_ready, self._clock
         )
         metrics_page = MetricsPage(self._metrics_snapshot)
-        self._metrics_edge = HttpEdge(metrics_page.handle, self._log_failure)
-        self._caller_edge = HttpEdge(self.entry.handle_external, self._log_failure)
-        self._control_edge = HttpEdge(control, self._log_failure)
-        self._readiness_edge = HttpEdge(readiness, self._log_failure)
-        self._in_force.on_swap(self._apply_bundle)
-        self.directory.on_view += [
-            self.entry.tables.mark_stale,
+        self._metrics_edge = HttpServer(metrics_page.handle, self._log_failure)
+        self._caller_edge = HttpServer(self.entry.handle_external, self._log_failure)
+        self._control_edge = HttpServer(control, self._log_failure)
+        self._readiness_edge = HttpServer(readiness, self._log_failure)
+        self._in_force.add_swap_listener(self._apply_bundle)
+        self.directory.on_view_changed += [
+            self.entry.candidate_tables.mark_stale,
             self._order_book.refresh,
         ]
         table.subscribe(RecordKind.MEMBER, lambda record: self._order_book.refresh())
@@ -270,7 +270,9 @@
                 self._serve, self._metrics_edge, Endpoint(cfg.address, cfg.metrics_port)
             )
             nursery.start_soon(self._driver.run)
-            self._log.emit("node", "started", f"{cfg.name} serves on {cfg.address}.")
+            self._log.emit(
+                "node", "started", f"{cfg.name} is serving on {cfg.address}."
+            )
             await self._wait_for_peers()
             self._reader_duty.start_timeout(trio.current_time())
             await self._reader.run()
@@ -292,14 +294,14 @@
 
     async def _announce_leave(self) -> None:
         self.directory.leave(self._clock.now_ms())
-        await trio.sleep(LEAVE_FLOOD_S)
+        await trio.sleep(LEAVE_PROPAGATION_S)
         if not self._registry.has_server:
             await self._discovery.remove_entry()
         await self._link_endpoint.flush()
 
     async def _serve(
         self,
-        edge: HttpEdge,
+        edge: HttpServer,
         endpoint: Endpoint,
         task_status: trio.TaskStatus[Any] = trio.TASK_STATUS_IGNORED,
     ) -> None:
@@ -308,7 +310,7 @@
     async def _expire_servers(self) -> None:
         while True:
             self._registry.expire(trio.current_time())
-            await trio.sleep(EXPIRY_INTERVAL_S)
+            await trio.sleep(CHECK_INTERVAL_S)
 
     def _metrics_snapshot(self) -> NodeSnapshot:
         from marigoldchute.admin.metrics import MoveShare, NodeCounts, NodeSnapshot
@@ -331,12 +333,12 @@
                     "requests": budget.requests,
                     "retries": budget.retries,
                     "refused_retries": budget.refused_retries,
-                    "log_lines_dropped": line_out.dropped if line_out else 0,
+                    "log_lines_dropped": line_out.dropped_count if line_out else 0,
                 },
             ),
         )
 
-    def _handle_link(self, link: Link) -> None:
+    def _handle_accepted_link(self, link: Link) -> None:
         if link.purpose == "control":
             self._overlay.accept(link)
 
--- a/marigoldchute/membership/service.py
+++ b/marigoldchute/membership/service.py
@@ -70,8 +70,8 @@
         self.contact = ContactTracker(
             cfg.name, cfg.data_centre, boottime_clock(), self.contact_timeouts
         )
-        self.on_incarnation: list[Callable[[int], None]] = []
-        self.on_view: list[Callable[[], None]] = []
+        self.on_new_incarnation: list[Callable[[int], None]] = []
+        self.on_view_changed: list[Callable[[], None]] = []
         self._local = Member(
             name=cfg.name,
             incarnation=incarnation,
@@ -81,7 +81,7 @@
             data_centre=cfg.data_centre,
             region=cfg.region,
         )
-        table.validate(RecordKind.MEMBER, self._is_valid_record)
+        table.register_validator(RecordKind.MEMBER, self._is_valid_record)
         table.subscribe(RecordKind.MEMBER, self._apply_record)
         self._publish()
 
@@ -165,7 +165,7 @@
             )
         self._unreachable_data_centres = data_centres
         self._generation += 1
-        for listener in self.on_view:
+        for listener in self.on_view_changed:
             listener()
 
     def address_of(self, name: str) -> tuple[str, int] | None:
@@ -200,7 +200,7 @@
     def leave(self, now_ms: int) -> None:
         """Publish that this node stops and that its incarnation has ended."""
         self._leaving = True
-        self._table.offer(claim_record(self._local, MemberState.GONE, now_ms))
+        self._table.apply(claim_record(self._local, MemberState.GONE, now_ms))
 
     def publish_claim(
         self, member: Member, state: MemberState, reason: str, now_ms: int
@@ -218,7 +218,7 @@
         now_ms : int
             Wall-clock time in milliseconds since the epoch.
         """
-        if self._table.offer(claim_record(member, state, now_ms)):
+        if self._table.apply(claim_record(member, state, now_ms)):
             self._log.emit(
                 "membership",
                 "claim",
@@ -234,7 +234,7 @@
                 del self._members[name]
                 self._table.discard(RecordKind.MEMBER, name)
 
-    def wanted(self) -> dict[str, tuple[str, int]]:
+    def wanted_peers(self) -> dict[str, tuple[str, int]]:
         """Return the address and port of each peer to keep a link to.
 
         Unreachable members that would be linked if they were alive are included, so
@@ -271,7 +271,7 @@
         """Add an address from the store to dial once, as no member record names it."""
         self._one_time_addresses.append((address, port))
 
-    def take_strangers(self) -> list[tuple[str, int]]:
+    def pop_one_time_addresses(self) -> list[tuple[str, int]]:
         """Return and clear the addresses to dial once, even if peers are linked."""
         addresses, self._one_time_addresses = self._one_time_addresses, []
         return addresses
@@ -299,7 +299,7 @@
 
     def _publish(self) -> None:
         if not self._leaving:
-            self._table.offer(own_record(self._local))
+            self._table.apply(own_record(self._local))
 
     def _is_valid_record(self, record: Record) -> bool:
         try:
@@ -374,7 +374,7 @@
             "The incarnation of this node was ended; it rejoins under a new one.",
             incarnation=incarnation,
         )
-        for listener in self.on_incarnation:
+        for listener in self.on_new_incarnation:
             listener(incarnation)
         self._publish()
 
--- a/marigoldchute/platform/control.py
+++ b/marigoldchute/platform/control.py
@@ -93,16 +93,16 @@
                 return
         path = req.target.decode("latin-1")
         if req.method != b"POST" or not path.startswith(INSTANCES_PREFIX):
-            await _send_response(responder, 404, "unknown path or operation")
+            await _send_response(responder, 404, "no such call")
             return
         instance, _, operation = path[len(INSTANCES_PREFIX) :].partition("/")
         if operation == "heartbeat":
             error = self._apply_report(instance, body)
         elif operation == "deregister":
-            self._registry.take_leave(instance, self._clock.now_ms())
+            self._registry.handle_deregistration(instance, self._clock.now_ms())
             error = ""
         else:
-            await _send_response(responder, 404, "unknown path or operation")
+            await _send_response(responder, 404, "no such call")
             return
         await _send_response(responder, 400 if error else 200, error)
 
@@ -115,13 +115,13 @@
         address, _, port = decoded.address.rpartition(":")
         backend = self._backend()
         if (address, port) != (backend.address, str(backend.port)):
-            return f"{decoded.address} is not the address of this VM's backend server"
+            return f"{decoded.address} is not on this VM"
         info, status = decoded.info, decoded.status
         draining = _IS_DRAINING.get(status.state)
         if draining is None:
-            return f"state {status.state!r} is unknown"
+            return f"state {status.state!r} is not known"
         if not instance or not info.service or not 1 <= info.slots <= MAX_SLOTS:
-            return "instance id, service or slots is invalid"
+            return "id, service or slots is not allowed"
         report = StateReport(
             instance,
             decoded.born,
@@ -134,7 +134,7 @@
             int(status.warmup_left_ms),
         )
         now = trio.current_time()
-        self._registry.take_report(report, now, self._clock.now_ms())
+        self._registry.handle_report(report, now, self._clock.now_ms())
         return ""
 
 
--- a/tests/support/documents.py
+++ b/tests/support/documents.py
@@ -9,7 +9,7 @@
 import msgspec
 import trio
 
-from marigoldchute.routing.http_server import HttpEdge
+from marigoldchute.routing.http_server import HttpServer
 
 if TYPE_CHECKING:
     from marigoldchute.routing.http_request import HttpRequest, HttpResponder
@@ -73,7 +73,7 @@
         self._events: list[tuple[int, str, bool, dict[str, Any]]] = []
         self._revision = 1
         self._compacted_revision = 0
-        self._edge = HttpEdge(self._handle)
+        self._edge = HttpServer(self._handle)
 
     async def serve(
         self,
@@ -150,7 +150,7 @@
     async def _watch(self, kind: str, query: dict[str, str]) -> tuple[int, Any]:
         after_revision = int(query["watch"])
         if after_revision < self._compacted_revision:
-            return 410, {"error": "history was compacted"}
+            return 410, {"error": "history is gone"}
         events: list[dict[str, Any]] = []
         with trio.move_on_after(int(query.get("wait_ms", "0")) / 1000):
             while not events:
--- a/tests/test_hosted/test_registry.py
+++ b/tests/test_hosted/test_registry.py
@@ -6,7 +6,7 @@
 import unittest
 from typing import TYPE_CHECKING
 
-from marigoldchute.events import EventSink
+from marigoldchute.events import MemoryEventLog
 from marigoldchute.hosted.registry import LocalRegistry, StateReport
 from marigoldchute.overlay.records import RecordKind, RecordTable
 
@@ -33,14 +33,16 @@
 
     def make_registry(self, table: RecordTable) -> LocalRegistry:
         self.servers: tuple[BackendServer, ...] = ()
-        return LocalRegistry("vm", table, self.store_servers, EventSink(), EXPIRY_S)
+        return LocalRegistry(
+            "vm", table, self.store_servers, MemoryEventLog(), EXPIRY_S
+        )
 
     def store_servers(self, servers: tuple[BackendServer, ...]) -> None:
         self.servers = servers
 
     def apply_reports(self, *reports: StateReport, now: float = 0.0) -> None:
         for report in reports:
-            self.registry.take_report(report, now, 0)
+            self.registry.handle_report(report, now, 0)
 
     def accepting(self) -> list[str]:
         return [s.instance for s in self.servers if not s.draining]
@@ -81,9 +83,9 @@
 
     def test_leave_without_drain_stops_new_requests(self) -> None:
         self.apply_reports(make_report(1))
-        self.registry.take_leave("i-2", 0)
+        self.registry.handle_deregistration("i-2", 0)
         self.assertEqual(self.accepting(), ["i-1"])
-        self.registry.take_leave("i-1", 0)
+        self.registry.handle_deregistration("i-1", 0)
         self.assertEqual(self.accepting(), [])
 
 
@@ -91,9 +93,9 @@
     def test_restarted_node_keeps_acknowledged_drain(self) -> None:
         self.apply_reports(make_report(1), make_report(2, draining=True))
         successor = self.make_registry(self.table)
-        successor.take_report(make_report(1), 0.0, 0)
+        successor.handle_report(make_report(1), 0.0, 0)
         self.assertEqual(self.accepting(), [])
-        successor.take_report(make_report(1, born_ms=2_000), 0.0, 0)
+        successor.handle_report(make_report(1, born_ms=2_000), 0.0, 0)
         self.assertEqual(self.accepting(), ["i-1"])
 
     def test_leave_record_received_after_first_report_is_applied(self) -> None:
@@ -104,7 +106,7 @@
         self.apply_reports(make_report(1))
         self.assertEqual(self.accepting(), ["i-1"])
         for record in old_table.of_kind(RecordKind.LEAVING):
-            self.table.offer(record, "peer")
+            self.table.apply(record, "peer")
         self.assertEqual(self.accepting(), [])
 
 
@@ -117,7 +119,7 @@
         successor = self.make_registry(self.table)
         for kind in (RecordKind.VM_SERVER, RecordKind.LEAVING):
             for record in old_table.of_kind(kind):
-                self.table.offer(record, "peer")
+                self.table.apply(record, "peer")
         return successor
 
     def test_adopted_server_is_used_before_its_report(self) -> None:
@@ -125,7 +127,7 @@
         published = self.servers
         successor = self.restart()
         self.assertEqual(self.accepting(), ["i-1"])
-        successor.take_report(make_report(6), 1.0, 0)
+        successor.handle_report(make_report(6), 1.0, 0)
         self.assertEqual(self.servers, published)
 
     def test_adopted_server_without_report_expires(self) -> None:
@@ -146,9 +148,9 @@
         old_table = self.table
         self.table = RecordTable()
         successor = self.make_registry(self.table)
-        successor.take_report(make_report(1, "i-2", 9_000), 0.0, 0)
+        successor.handle_report(make_report(1, "i-2", 9_000), 0.0, 0)
         for record in old_table.of_kind(RecordKind.VM_SERVER):
-            self.table.offer(record, "peer")
+            self.table.apply(record, "peer")
         self.assertEqual(self.accepting(), ["i-2"])
 
 
@@ -172,9 +174,9 @@
         peer = self.table
         self.table = RecordTable()
         self.registry = self.make_registry(self.table)
-        self.registry.take_leave("i-1", 2_000)
+        self.registry.handle_deregistration("i-1", 2_000)
         for record in peer.of_kind(RecordKind.VM_SERVER):
-            self.table.offer(record, "peer")
+            self.table.apply(record, "peer")
 
     def test_server_that_left_is_not_adopted(self) -> None:
         self.restart()
--- a/tests/test_path/test_storm.py
+++ b/tests/test_path/test_storm.py
@@ -33,7 +33,7 @@
     size : int
         Bytes of its body.
     outcome : str
-        ``answered``, ``not-run``, ``unknown``, or ``nothing`` without a response.
+        ``completed``, ``not-run``, ``unknown``, or ``nothing`` without a response.
     content : bytes
         Body of the response.
     """
@@ -45,9 +45,9 @@
 
 
 class FaultStormTest(MeshTestCase):
-    centres = 4
-    per_centre = 2
-    proxied = True
+    data_centre_count = 4
+    vms_per_data_centre = 2
+    uses_proxy = True
 
     def setUp(self) -> None:
         super().setUp()
@@ -57,7 +57,7 @@
     def test_requests_run_at_most_once_and_refused_ones_never(self) -> None:
         self.run_async(self._storm, 110)
         outcomes = {item.outcome for item in self.records}
-        self.assertIn("answered", outcomes)
+        self.assertIn("completed", outcomes)
 
     async def _storm(self) -> None:
         self.start_nodes()
@@ -107,7 +107,7 @@
 
     async def _cut_data_centre(self) -> None:
         data_centre = self.rng.choice(self.mesh.plan.vms).data_centre
-        await self.mesh.set_faults(
+        await self.mesh.set_proxy_rules(
             *(
                 Rule(data_centre, other, Action.DROP)
                 for other in {vm.data_centre for vm in self.mesh.plan.vms}
@@ -115,12 +115,12 @@
             )
         )
         await trio.sleep(FAULT_DURATION_S)
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
 
     async def _silence_all_links(self) -> None:
-        await self.mesh.set_faults(Rule("*", "*", Action.SILENCE))
+        await self.mesh.set_proxy_rules(Rule("*", "*", Action.SILENCE))
         await trio.sleep(FAULT_DURATION_S)
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
 
     async def _store_outage(self) -> None:
         await self.mesh.set_store_faults(StoreFaults(down=True))
@@ -176,14 +176,14 @@
                 )
                 headers = dict(response.headers)
                 outcome_header = headers.get(b"marigoldchute-outcome")
-                outcome = outcome_header.decode() if outcome_header else "answered"
+                outcome = outcome_header.decode() if outcome_header else "completed"
                 content = response.content
         except (httpcore.NetworkError, httpcore.ProtocolError):
             pass
         self.records.append(CallRecord(key, size, outcome, content))
 
     async def _wait_until_recovered(self, names: list[str]) -> None:
-        await self.mesh.set_faults()
+        await self.mesh.set_proxy_rules()
         await self.mesh.set_store_faults(StoreFaults())
         await self.mesh.wait_until(
             names[0],
@@ -217,7 +217,7 @@
         for item in self.records:
             if item.outcome == "not-run":
                 self.assertEqual(runs.get(item.key, 0), 0, item)
-            elif item.outcome == "answered":
+            elif item.outcome == "completed":
                 self.assertEqual(runs.get(item.key, 0), 1, item)
                 expected = b"r1 /reservas/%s %d\n" % (item.key.encode(), item.size)
                 self.assertEqual(item.content, expected)
--- a/tests/test_routing/test_owner.py
+++ b/tests/test_routing/test_owner.py
@@ -12,7 +12,7 @@
 from marigoldchute.routing import backend_conn
 from marigoldchute.routing.messages import ENCODER, RequestHead, ResponseHead
 from marigoldchute.routing.owner import Owner
-from tests.support.servers import PORT, listening, read_request
+from tests.support.servers import PORT, read_request, serve_script
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -40,13 +40,13 @@
         self.body = b""
         self.finished = False
 
-    def take_whole_body(self) -> bytes | None:
+    def pop_complete_body(self) -> bytes | None:
         return b""
 
     async def receive(self) -> bytes | None:
         return None
 
-    async def send_whole(self, head: ResponseHead, body: bytes) -> None:
+    async def send_complete(self, head: ResponseHead, body: bytes) -> None:
         await self.send_head(head, body)
         self.finished = True
 
@@ -89,7 +89,10 @@
     ) -> None:
         async def main() -> None:
             with trio.fail_after(10):
-                async with listening(script) as address, trio.open_nursery() as nursery:
+                async with (
+                    serve_script(script) as address,
+                    trio.open_nursery() as nursery,
+                ):
                     owner = Owner(FakeServers(address, self.slots), address)
                     await nursery.start(owner.run)
                     await body(owner)
@@ -274,12 +277,12 @@
             await owner.execute(make_head(), CollectingExchange())
             self.assertEqual(connections, 2)
 
-        limit_s = backend_conn.IDLE_REUSE_NON_IDEMPOTENT_S
-        backend_conn.IDLE_REUSE_NON_IDEMPOTENT_S = 0.03
+        limit_s = backend_conn.MAX_IDLE_NON_IDEMPOTENT_S
+        backend_conn.MAX_IDLE_NON_IDEMPOTENT_S = 0.03
         try:
             self.run_owner(serve, body)
         finally:
-            backend_conn.IDLE_REUSE_NON_IDEMPOTENT_S = limit_s
+            backend_conn.MAX_IDLE_NON_IDEMPOTENT_S = limit_s
 
 
 class FakeStream:
