--- a/marigoldchute/routing/admission.py
+++ b/marigoldchute/routing/admission.py
@@ -17,7 +17,8 @@
 
 NUM_PRIORITIES = 3
 MAX_QUEUED_PER_SLOT = 4
-QUEUE_RATIOS = (1.0, 0.75, 0.5)  # By priority: the lowest class is shed first.
+# Part of the queue that requests of each priority may fill: the lowest is shed first.
+QUEUE_RATIOS = (1.0, 0.75, 0.5)
 RUN_TIME_EWMA_WEIGHT = 0.1
 INITIAL_RUN_TIME_S = 0.002
 # Seven in eight requests take less than this many times the mean run time, given how
@@ -84,7 +85,7 @@
 
     @property
     def load_level(self) -> int:
-        """Quarter of the slots in use, including the last admitted request."""
+        """Quarter of the slots that the last admitted request is in, counted from 0."""
         return min(
             NUM_LOAD_LEVELS - 1, NUM_LOAD_LEVELS * (self.running - 1) // self._slots
         )
--- a/marigoldchute/routing/backend_attempt.py
+++ b/marigoldchute/routing/backend_attempt.py
@@ -29,7 +29,7 @@
     exchange : Exchange
         Provides the body and receives the response.
     conn : BackendConn
-        Connection that is used for this request only until it ends.
+        Connection; no other request uses it until this one has ended.
     remaining_ms : int
         Time left until the caller's deadline.
     instance : str
--- a/marigoldchute/routing/backend_conn.py
+++ b/marigoldchute/routing/backend_conn.py
@@ -18,7 +18,7 @@
 CONNECT_TIMEOUT_S = 1.0
 MAX_IDLE_S = 4.0
 MAX_IDLE_NON_IDEMPOTENT_S = 1.0
-KEEP_ALIVE_MARGIN_S = 1.0  # The header is rounded down to whole seconds.
+KEEP_ALIVE_MARGIN_S = 1.0  # A Keep-Alive timeout is rounded down to seconds.
 ABANDON_TIMEOUT_S = 2.0
 
 
--- a/marigoldchute/routing/budget.py
+++ b/marigoldchute/routing/budget.py
@@ -178,12 +178,12 @@
         return True
 
     def _counter_for(
-        self, counts: dict[str, _SlidingWindowCounter], service: str
+        self, counters: dict[str, _SlidingWindowCounter], service: str
     ) -> _SlidingWindowCounter:
-        count = counts.get(service)
-        if count is None:
-            count = counts[service] = _SlidingWindowCounter(self._window_s)
-        return count
+        counter = counters.get(service)
+        if counter is None:
+            counter = counters[service] = _SlidingWindowCounter(self._window_s)
+        return counter
 
 
 class _SlidingWindowCounter:
--- a/marigoldchute/routing/candidates.py
+++ b/marigoldchute/routing/candidates.py
@@ -99,8 +99,8 @@
                 target.member = member
                 target.server = server
                 targets[key] = target
-                release = (server.service, server.release)
-                by_release.setdefault(release, []).append(target)
+                release_key = (server.service, server.release)
+                by_release.setdefault(release_key, []).append(target)
         self._targets = targets
         local = self._members.local
         self._tables = {
@@ -110,15 +110,15 @@
 
 
 def _split_by_distance(local: Member, targets: list[Target]) -> Candidates:
-    own, centre, region, remote = [], [], [], []
+    own, data_centre, region, remote = [], [], [], []
     for target in targets:
         member = target.member
         if member.name == local.name:
             own.append(target)
         if member.data_centre == local.data_centre:
-            centre.append(target)
+            data_centre.append(target)
         elif member.region == local.region:
             region.append(target)
         else:
             remote.append(target)
-    return Candidates(tuple(own), tuple(centre), tuple(region), tuple(remote))
+    return Candidates(tuple(own), tuple(data_centre), tuple(region), tuple(remote))
--- a/marigoldchute/routing/choice.py
+++ b/marigoldchute/routing/choice.py
@@ -18,9 +18,9 @@
 OWN_LOAD_THRESHOLD = 0.7
 MAX_EJECTED_RATIO = 0.5
 DEFAULT_LATENCY_MS = 5.0
-LINK_BYTES_PER_S = 250_000
-LINK_BURST_BYTES = 500_000
-LINK_REQUEST_BYTES = 1_000
+INTER_REGION_BYTES_PER_S = 250_000
+INTER_REGION_BURST_BYTES = 500_000
+INTER_REGION_ATTEMPT_BYTES = 1_000  # Charged for each attempt on top of its bytes.
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -77,8 +77,8 @@
     ) -> None:
         """Record a failed attempt, which may eject the target."""
 
-    def charge_link(self, target: Target, byte_count: int, now: float) -> None:
-        """Charge the bytes that an attempt has sent or received."""
+    def record_link_bytes(self, target: Target, byte_count: int, now: float) -> None:
+        """Record the bytes that an attempt sent and received over a link."""
 
 
 class RandomChooser:
@@ -110,7 +110,7 @@
     ) -> None:
         """Do nothing."""
 
-    def charge_link(self, target: Target, byte_count: int, now: float) -> None:
+    def record_link_bytes(self, target: Target, byte_count: int, now: float) -> None:
         """Do nothing."""
 
 
@@ -122,7 +122,7 @@
     the better of two random targets is chosen (Mitzenmacher, "The Power of Two Choices
     in Randomized Load Balancing", 2001), by the entry node's own latency and in-flight
     counts. A farther tier is used only when each target of the nearer ones is ejected,
-    busy or already attempted; targets across the link also only within a byte budget.
+    busy or already attempted; other regions also only within a budget of bytes.
 
     Parameters
     ----------
@@ -143,7 +143,9 @@
         self._rng = rng
         self._gate_of = gate_of
         self._local_region = local_region
-        self._link_budget = TokenBucket(LINK_BYTES_PER_S, LINK_BURST_BYTES)
+        self._inter_region_budget = TokenBucket(
+            INTER_REGION_BYTES_PER_S, INTER_REGION_BURST_BYTES
+        )
 
     def choose(
         self,
@@ -161,7 +163,7 @@
             target = self._choose_in_tier(tier, attempted, now, now_ms)
             if target is not None:
                 return target
-        if candidates.remote and self._link_budget.has_tokens(now):
+        if candidates.remote and self._inter_region_budget.has_tokens(now):
             target = self._choose_in_tier(candidates.remote, attempted, now, now_ms)
             if target is not None:
                 return target
@@ -183,10 +185,12 @@
             if (ejected + 1) <= MAX_EJECTED_RATIO * len(tier):
                 target.eject(now)
 
-    def charge_link(self, target: Target, byte_count: int, now: float) -> None:
-        """Charge the budget of the link for an attempt across it."""
+    def record_link_bytes(self, target: Target, byte_count: int, now: float) -> None:
+        """Charge the budget of bytes between regions if the target is remote."""
         if target.member.region != self._local_region:
-            self._link_budget.charge(byte_count + LINK_REQUEST_BYTES, now)
+            self._inter_region_budget.charge(
+                byte_count + INTER_REGION_ATTEMPT_BYTES, now
+            )
 
     def _choose_own(
         self, own: Sequence[Target], attempted: set[Target], now: float, now_ms: int
@@ -237,14 +241,14 @@
     ) -> Target | None:
         """Return the target that is available again first.
 
-        An attempt there may succeed, where a refusal certainly fails.
+        An attempt there may succeed; without one the request certainly fails.
         """
         for tier in (candidates.data_centre, candidates.region):
             remaining = [target for target in tier if target not in attempted]
             if remaining:
                 return min(remaining, key=_unavailable_until)
         remaining = [target for target in candidates.remote if target not in attempted]
-        if remaining and self._link_budget.has_tokens(now):
+        if remaining and self._inter_region_budget.has_tokens(now):
             return min(remaining, key=_unavailable_until)
         return None
 
--- a/marigoldchute/routing/dialect.py
+++ b/marigoldchute/routing/dialect.py
@@ -14,7 +14,8 @@
     deadline : bytes
         Header with the remaining time of a request in milliseconds.
     request_id : bytes
-        Header with the id of a request; each attempt of a caller has its own.
+        Header with the id of a request. It is the same for all attempts of the mesh;
+        a caller that sends its request again uses another one.
     not_run : bytes
         Header that a backend server sets on the response to a request that it did
         not run.
--- a/marigoldchute/routing/dispatch.py
+++ b/marigoldchute/routing/dispatch.py
@@ -33,7 +33,7 @@
     from marigoldchute.routing.target import Target
     from marigoldchute.util.clock import Clock
 
-LINK_TIMEOUT_S = 1.0
+OPEN_LINK_TIMEOUT_S = 1.0
 UNREACHABLE_BACKOFF_S = 1.0
 
 
@@ -155,10 +155,10 @@
         finally:
             link.remove_stream(stream)
             now = trio.current_time()
-            self._chooser.charge_link(target, call.link_bytes, now)
+            self._chooser.record_link_bytes(target, call.link_bytes, now)
 
     async def _open_link(self, target: Target) -> Link:
-        with trio.move_on_after(LINK_TIMEOUT_S):
+        with trio.move_on_after(OPEN_LINK_TIMEOUT_S):
             try:
                 return await self._traffic.get(target.member.name)
             except (PeerError, AuthError) as exc:
@@ -204,6 +204,7 @@
 
 
 def _unreachable_error(target: Target) -> NotRunError:
+    """Pause the target and return the error of the attempt."""
     target.busy_until = trio.current_time() + UNREACHABLE_BACKOFF_S
     return NotRunError(f"{target.member.name} cannot be reached")
 
--- a/marigoldchute/routing/entry.py
+++ b/marigoldchute/routing/entry.py
@@ -58,7 +58,7 @@
 RETRY_RATIO = 0.2
 MIN_RETRIES_PER_S = 5.0
 RETRY_BURST = 20.0
-# With less of its time left, an attempt would likely end at the deadline.
+# With a smaller part of a request's time left, an attempt likely ends at the deadline.
 MIN_REMAINING_TIME_RATIO = 0.15
 # Each refusal costs one hop, and a fourth attempt rarely finds a slot in time.
 MAX_REFUSED_ATTEMPTS = 3
--- a/marigoldchute/routing/failure.py
+++ b/marigoldchute/routing/failure.py
@@ -36,7 +36,7 @@
 def error_to_report(call: Call, exc: MarigoldchuteError) -> MarigoldchuteError:
     """Return the error to report to the caller.
 
-    If an earlier attempt may have run the request, it is not reported as not run.
+    A request that an earlier attempt may have run is never reported as not run.
     """
     if call.may_have_run and isinstance(exc, NotRunError):
         return RequestError(
--- a/marigoldchute/routing/first_bundle.py
+++ b/marigoldchute/routing/first_bundle.py
@@ -16,7 +16,7 @@
     """Holds requests for the short time in which the first bundle is expected.
 
     The time starts with the first request that needs the bundle, not with each
-    request, so that requests are soon refused at once if no bundle arrives.
+    request, so that later requests are refused at once if no bundle has arrived.
 
     Parameters
     ----------
--- a/marigoldchute/routing/headers.py
+++ b/marigoldchute/routing/headers.py
@@ -26,6 +26,7 @@
         b"proxy-connection",
     }
 )
+MAX_DEADLINE_DIGITS = 9
 _IGNORED_CONNECTION_OPTIONS = frozenset(
     {b"content-length", b"host", b"close", b"keep-alive"}
 )
@@ -65,6 +66,6 @@
 
 def parse_deadline_ms(value: bytes | None) -> int | None:
     """Return the milliseconds of a deadline header, or None when it is not valid."""
-    if value is None or not value.isdigit() or len(value) > 9:
+    if value is None or not value.isdigit() or len(value) > MAX_DEADLINE_DIGITS:
         return None
     return int(value)
--- a/marigoldchute/routing/http_checks.py
+++ b/marigoldchute/routing/http_checks.py
@@ -83,12 +83,12 @@
 
 
 def parse_target(target: bytes) -> bytes:
-    """Return the origin form of a request target.
+    """Return the origin form of a request target, or ``*`` as it is.
 
     Raises
     ------
     RequestError
-        The target is neither in origin nor in absolute form.
+        The target is neither ``*`` nor in origin or absolute form.
     """
     if target.startswith(b"/"):
         return target
--- a/marigoldchute/routing/http_request.py
+++ b/marigoldchute/routing/http_request.py
@@ -61,7 +61,7 @@
         self.keep_alive = True
         self.has_body = False
         self.complete = False
-        self.chunks: list[bytes] = []  # Short; an empty deque takes 760 bytes.
+        self.chunks: list[bytes] = []  # An empty deque takes 760 bytes.
         self.cancel_scope: trio.CancelScope | None = None
         self.caller_disconnected = False
         self._expects_continue = False
--- a/marigoldchute/routing/http_server.py
+++ b/marigoldchute/routing/http_server.py
@@ -22,7 +22,8 @@
 
 HEAD_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 75.0
-IDLE_MARGIN_S = 0.5  # A request sent during the close would be lost.
+# Added to the timeout of ``CallerLimits``: a request sent during the close is lost.
+IDLE_MARGIN_S = 0.5
 LINGER_TIMEOUT_S = 1.0
 MAX_LINGER_BYTES = 262_144
 # A request may be 24 calls deep, and each node adds this delay to its cancellation.
--- a/marigoldchute/routing/least_time.py
+++ b/marigoldchute/routing/least_time.py
@@ -13,8 +13,9 @@
     from marigoldchute.routing.candidates import Candidates
     from marigoldchute.routing.target import Target
 
-INTER_REGION_RTT_MS = 60.0  # Round trip between regions: a link takes 30 ms one way.
+INTER_REGION_RTT_MS = 60.0  # One way between regions takes 30 ms.
 DEFAULT_RUN_TIME_MS = 100.0
+MIN_WEIGHT = 0.25  # A cold server is expected to take at most 4 times as long.
 RUN_TIME_EWMA_WEIGHT = 0.05
 # Relative increase of the run time with all slots in use, on servers that slow down.
 FULL_LOAD_SLOWDOWN = 0.3
@@ -24,7 +25,7 @@
 OTHER_DATA_CENTRE_FACTOR = 1.15
 # Part of the objective that near servers may need before remote ones are considered.
 NEAR_OBJECTIVE_RATIO = 0.8
-JITTER = 0.1  # Keeps nodes with the same data from choosing the same target.
+JITTER_RATIO = 0.1  # Keeps nodes with the same data from choosing the same target.
 EJECT_ERROR_MARGIN = 0.25
 EJECT_MIN_SAMPLES = 8
 MAX_EJECTED_RATIO = 0.5
@@ -120,8 +121,8 @@
         if ejected + 1 <= MAX_EJECTED_RATIO * (len(others) + 1):
             target.eject(now)
 
-    def charge_link(self, target: Target, byte_count: int, now: float) -> None:
-        """Do nothing: remote targets are the last choice without a budget."""
+    def record_link_bytes(self, target: Target, byte_count: int, now: float) -> None:
+        """Do nothing: remote targets are the last choice whatever they cost."""
 
     def expected_ms(
         self, target: Target, now: float, now_ms: int, pick_info: PickInfo
@@ -131,7 +132,7 @@
             self._typical_run_ms.get(pick_info.route, DEFAULT_RUN_TIME_MS)
             * target.slowness
         )
-        run_ms /= max(target.weight(now_ms), 0.25)
+        run_ms /= max(target.weight(now_ms), MIN_WEIGHT)
         load = target.expected_load(now)
         slots = target.server.slots
         queued = max(0.0, load + 1 - slots)
@@ -150,7 +151,7 @@
             if target in attempted or not target.available(now):
                 continue
             expected_ms = self.expected_ms(target, now, now_ms, pick_info)
-            cost = expected_ms * (1.0 + JITTER * self._rng.random())
+            cost = expected_ms * (1.0 + JITTER_RATIO * self._rng.random())
             if cost < best_cost:
                 best, best_ms, best_cost = target, expected_ms, cost
         return best, best_ms
@@ -161,7 +162,7 @@
 ) -> Target | None:
     """Return the target that is available again first.
 
-    An attempt there may succeed, where a refusal certainly fails.
+    An attempt there may succeed; without one the request certainly fails.
     """
     remaining = [target for target in targets if target not in attempted]
     if not remaining:
--- a/marigoldchute/routing/limit.py
+++ b/marigoldchute/routing/limit.py
@@ -62,7 +62,7 @@
 
         Parameters
         ----------
-        duration_s : float
+        run_s : float
             Time that the backend server took for the request.
         running : int
             Number of running requests when the request was admitted.
--- a/marigoldchute/routing/messages.py
+++ b/marigoldchute/routing/messages.py
@@ -13,7 +13,7 @@
     Parameters
     ----------
     request_id : str
-        Unique per request of a caller; the same for its retries.
+        Unique per request of a caller; the same for all attempts of the entry node.
     route, service, release : str
         Matched route, and the service and release whose backend servers may respond.
     server_id : str
@@ -35,7 +35,7 @@
     caller_service : str
         Service on whose VM the request originated; empty when it is unknown.
     objective_ms : int
-        Time left until the target latency of the route; 0 when it has none.
+        Time left until the latency objective of the route; 0 when it has none.
     """
 
     request_id: str
@@ -69,7 +69,8 @@
     code : int
         ``ResultCode`` of a refusal by the node.
     load_level : int
-        Slots in use when the request was admitted, in quarters of all slots.
+        Quarter of the backend server's slots in use when it admitted the request,
+        0 to ``NUM_LOAD_LEVELS - 1``.
     backend_us : int
         Time from the last byte written to the backend server until the head of its
         response, in microseconds.
--- a/marigoldchute/routing/outcomes.py
+++ b/marigoldchute/routing/outcomes.py
@@ -15,7 +15,8 @@
     above. ``SHED`` is a refusal by admission or by the backend server for lack of
     capacity, ``NOT_RUN`` any other refusal before the request ran. ``UNKNOWN`` means
     that the request may have run, ``OVERDUE`` that it was still running at its
-    deadline, and ``CANCELLED`` that the caller cancelled it.
+    deadline, and ``CANCELLED`` that the caller disconnected or did not send a valid
+    request.
     """
 
     OK = "ok"
--- a/marigoldchute/routing/owner.py
+++ b/marigoldchute/routing/owner.py
@@ -182,7 +182,10 @@
             The request may have run, and no complete response was sent.
         """
         if self._servers.fenced:
-            raise NotRunError("fenced", ResultCode.REQUEST_NOT_RUN_FENCED)
+            raise NotRunError(
+                "node is fenced: too few members are reachable",
+                ResultCode.REQUEST_NOT_RUN_FENCED,
+            )
         owned = self._find(head.server_id)
         if owned is None:
             raise NotRunError("backend server is not on this VM")
@@ -192,11 +195,11 @@
         gate = owned.gate
         remaining_ms = head.remaining_ms
         if not gate.try_acquire_slot():
-            entered_at = trio.current_time()
+            queued_at = trio.current_time()
             await gate.acquire_slot(
                 head.priority, remaining_ms / 1000, head.objective_ms / 1000
             )
-            waited_ms = int((trio.current_time() - entered_at) * 1000)
+            waited_ms = int((trio.current_time() - queued_at) * 1000)
             remaining_ms = max(1, remaining_ms - waited_ms)
         running = gate.running
         try:
@@ -204,7 +207,7 @@
         except BaseException:
             gate.release_slot()
             raise
-        run = BackendAttempt(
+        attempt = BackendAttempt(
             head,
             exchange,
             conn,
@@ -215,32 +218,32 @@
             self._policy,
         )
         try:
-            await run.execute()
+            await attempt.execute()
         except BaseException as exc:
-            self._release_failed(owned, run, isinstance(exc, trio.Cancelled))
+            self._release_failed(owned, attempt, isinstance(exc, trio.Cancelled))
             raise
         now = trio.current_time()
-        gate.record_sample(run.duration_s, running, now)
-        if run.reusable and not gate.draining:
-            conn.limit_idle_reuse(run.keep_alive_s)
+        gate.record_sample(attempt.duration_s, running, now)
+        if attempt.reusable and not gate.draining:
+            conn.limit_idle_reuse(attempt.keep_alive_s)
             owned.pool.release(conn, now)
         else:
             owned.pool.discard(conn)
         gate.release_slot()
 
     def _release_failed(
-        self, owned: OwnedServer, run: BackendAttempt, cancelled: bool
+        self, owned: OwnedServer, attempt: BackendAttempt, cancelled: bool
     ) -> None:
-        if run.refused:
+        if attempt.refused:
             owned.gate.record_refusal(trio.current_time())
-        may_still_run = run.written and not run.server_finished
+        may_still_run = attempt.written and not attempt.server_finished
         if may_still_run and self._nursery is not None:
-            self._nursery.start_soon(self._wait_abandoned, owned, run.conn)
+            self._nursery.start_soon(self._wait_abandoned, owned, attempt.conn)
             return
-        if run.refused and run.reusable:
-            owned.pool.release(run.conn, trio.current_time())
+        if attempt.refused and attempt.reusable:
+            owned.pool.release(attempt.conn, trio.current_time())
         else:
-            owned.pool.discard(run.conn)
+            owned.pool.discard(attempt.conn)
         owned.gate.release_slot()
 
     async def _wait_abandoned(self, owned: OwnedServer, conn: BackendConn) -> None:
--- a/marigoldchute/routing/path.py
+++ b/marigoldchute/routing/path.py
@@ -35,7 +35,7 @@
 
 
 class RequestPath:
-    """Entry, owner and HTTP edges of one node.
+    """Entry, owner and HTTP servers of one node.
 
     Parameters
     ----------
@@ -92,8 +92,8 @@
             clock,
             rng,
         )
-        self._caller_edge = HttpServer(self.entry.handle_external, self._log_failure)
-        self._internal_edge = HttpServer(self._handle_internal, self._log_failure)
+        self._caller_server = HttpServer(self.entry.handle_external, self._log_failure)
+        self._internal_server = HttpServer(self._handle_internal, self._log_failure)
         membership.on_view_changed.append(self.entry.candidate_tables.mark_stale)
         table.subscribe(
             RecordKind.MEMBER, lambda record: self.entry.candidate_tables.mark_stale()
@@ -107,9 +107,9 @@
         async with trio.open_nursery() as nursery:
             await nursery.start(self.owner.run)
             await nursery.start(
-                self._internal_edge.serve, cfg.address, cfg.internal_port
+                self._internal_server.serve, cfg.address, cfg.internal_port
             )
-            await nursery.start(self._caller_edge.serve, cfg.address, cfg.caller_port)
+            await nursery.start(self._caller_server.serve, cfg.address, cfg.caller_port)
             task_status.started()
 
     async def drain(self) -> None:
@@ -121,11 +121,11 @@
         on other VMs.
         """
         self.owner.drain()
-        self._caller_edge.drain()
+        self._caller_server.drain()
         with trio.move_on_after(DRAIN_LIMIT_S) as scope:
             await trio.sleep(DRAIN_ACCEPT_S)
-            self._caller_edge.stop_accepting()
-            while self._caller_edge.is_busy or self.owner.running:
+            self._caller_server.stop_accepting()
+            while self._caller_server.is_busy or self.owner.running:
                 await trio.sleep(DRAIN_POLL_INTERVAL_S)
         if scope.cancelled_caught:
             self._log.emit(
--- a/marigoldchute/routing/request_log.py
+++ b/marigoldchute/routing/request_log.py
@@ -120,7 +120,7 @@
         self._log.emit(
             "owner",
             "not_answered",
-            f"{head.server_id or 'unknown server'} sent no response: {exc.message}.",
+            f"Request to {head.server_id or 'unknown server'} failed: {exc.message}.",
             code=exc.code.value,
             request=head.request_id,
             route=head.route,
--- a/marigoldchute/routing/route_mix.py
+++ b/marigoldchute/routing/route_mix.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-# A route with one request in twenty gets as many as one of two.
+# Of two routes, one with 1 in 20 requests sends as many to the new release as one with
+# half of them.
 MAX_RARE_ROUTE_BOOST = 12.0
 MAX_RARE_ROUTE_SHARE = 0.7  # Leaves the old release some responses to compare with.
 MIN_REQUESTS = 20  # With fewer, a route's part of the traffic is not known well.
--- a/marigoldchute/routing/target.py
+++ b/marigoldchute/routing/target.py
@@ -20,6 +20,7 @@
 EJECT_MIN_SAMPLES = 20
 EJECT_BASE_S = 1.0
 EJECT_MAX_S = 30.0
+LATENCY_OFFSET_MS = 0.1  # Lets the load count at a latency near 0.
 
 
 class Target:
@@ -103,7 +104,7 @@
         if latency_ms is None:
             latency_ms = default_latency_ms
         load = (self.in_flight + 1) / self.server.slots
-        return (latency_ms + 0.1) * load / self.weight(now_ms)
+        return (latency_ms + LATENCY_OFFSET_MS) * load / self.weight(now_ms)
 
     def record_response(self, latency_ms: float, is_error: bool) -> None:
         """Record a complete response."""
--- a/tests/test_routing/test_choice.py
+++ b/tests/test_routing/test_choice.py
@@ -70,17 +70,17 @@
         attempted.add(self.remote)
         self.assertIsNone(chooser.choose(self.candidates, attempted, 0.0, NOW_MS))
 
-    def test_link_is_used_only_within_its_budget(self) -> None:
+    def test_other_region_is_chosen_only_within_the_byte_budget(self) -> None:
         chooser = make_chooser()
         candidates = Candidates(remote=(self.remote,))
         self.assertIs(chooser.choose(candidates, set(), 0.0, NOW_MS), self.remote)
-        chooser.charge_link(self.remote, 1_000_000, 0.0)
+        chooser.record_link_bytes(self.remote, 1_000_000, 0.0)
         self.assertIsNone(chooser.choose(candidates, set(), 0.1, NOW_MS))
         self.assertIs(chooser.choose(candidates, set(), 10.0, NOW_MS), self.remote)
 
     def test_bytes_within_region_are_not_charged(self) -> None:
         chooser = make_chooser()
-        chooser.charge_link(self.near, 10_000_000, 0.0)
+        chooser.record_link_bytes(self.near, 10_000_000, 0.0)
         candidates = Candidates(remote=(self.remote,))
         self.assertIs(chooser.choose(candidates, set(), 0.0, NOW_MS), self.remote)
 
