--- a/tests/test_routing/test_depth.py
+++ b/tests/test_routing/test_depth.py
@@ -26,9 +26,9 @@
                 nursery.start_soon(self._call, 30_000)
                 await self._wait_for_running(DEPTH + 1)
                 nursery.cancel_scope.cancel()
-            left_at = trio.current_time()
+            closed_at = trio.current_time()
             await self._wait_for_running(0)
-            self.assertLess(trio.current_time() - left_at, MAX_CANCELLATION_S)
+            self.assertLess(trio.current_time() - closed_at, MAX_CANCELLATION_S)
         with self.subTest("deadline passes"):
             started_at = trio.current_time()
             response = await self._call(2_000)
--- a/tests/test_routing/test_http_edge.py
+++ b/tests/test_routing/test_http_edge.py
@@ -66,20 +66,20 @@
     await responder.finish()
 
 
-class EdgeTestCase(unittest.TestCase):
-    """Runs an edge inside the test process."""
+class ServerTestCase(unittest.TestCase):
+    """Runs an HTTP server inside the test process."""
 
     handler = staticmethod(echo)
 
-    def run_edge(self, body: Callable[[str], Awaitable[None]]) -> None:
+    def run_server(self, body: Callable[[str], Awaitable[None]]) -> None:
         block = LoopbackBlock()
         address = f"127.{block.number}.1.1"
-        self.edge = HttpServer(self.handler)
+        self.server = HttpServer(self.handler)
 
         async def main() -> None:
             with trio.fail_after(10):
                 async with trio.open_nursery() as nursery:
-                    await nursery.start(self.edge.serve, address, PORT)
+                    await nursery.start(self.server.serve, address, PORT)
                     await body(address)
                     nursery.cancel_scope.cancel()
 
@@ -101,7 +101,7 @@
         return received
 
 
-class MalformedTest(EdgeTestCase):
+class MalformedTest(ServerTestCase):
     def test_malformed_head_gets_400_and_closes_the_connection(self) -> None:
         async def body(address: str) -> None:
             for name, data in MALFORMED.items():
@@ -110,7 +110,7 @@
                     self.assertEqual(response.split()[1:2], [b"400"], response)
                     self.assertEqual(response.count(b"HTTP/1.1"), 1)
 
-        self.run_edge(body)
+        self.run_server(body)
 
     def test_malformed_body_never_gets_200(self) -> None:
         async def body(address: str) -> None:
@@ -119,7 +119,7 @@
                     response = await self.exchange(address, data)
                     self.assertNotIn(b" 200 ", response)
 
-        self.run_edge(body)
+        self.run_server(body)
 
     def test_too_large_head_gets_431(self) -> None:
         async def body(address: str) -> None:
@@ -131,7 +131,7 @@
                 response = await self.exchange(address, data)
                 self.assertEqual(response.split()[1:2], [b"431"])
 
-        self.run_edge(body)
+        self.run_server(body)
 
     def test_complete_request_before_a_malformed_one_gets_a_response(self) -> None:
         async def body(address: str) -> None:
@@ -140,7 +140,7 @@
             self.assertIn(b"/good 0", response)
             self.assertIn(b" 400 ", response)
 
-        self.run_edge(body)
+        self.run_server(body)
 
     def test_trailers_are_not_headers(self) -> None:
         header_names = []
@@ -156,11 +156,11 @@
             self.assertIn(b"/a 1", await stream.receive_some(65_536))
 
         self.handler = record_headers
-        self.run_edge(body)
+        self.run_server(body)
         self.assertNotIn(b"x-late", header_names)
 
 
-class SlowSenderTest(EdgeTestCase):
+class SlowSenderTest(ServerTestCase):
     def test_slow_head_gets_408(self) -> None:
         async def body(address: str) -> None:
             response = await self.exchange(address, b"GET / HTTP/1.1\r\nHos")
@@ -169,7 +169,7 @@
         limits = http_server.HEAD_TIMEOUT_S, http_server.EXPIRY_CHECK_INTERVAL_S
         http_server.HEAD_TIMEOUT_S = http_server.EXPIRY_CHECK_INTERVAL_S = 0.05
         try:
-            self.run_edge(body)
+            self.run_server(body)
         finally:
             http_server.HEAD_TIMEOUT_S, http_server.EXPIRY_CHECK_INTERVAL_S = limits
 
@@ -180,12 +180,12 @@
         limits = http_server.IDLE_TIMEOUT_S, http_server.EXPIRY_CHECK_INTERVAL_S
         http_server.IDLE_TIMEOUT_S = http_server.EXPIRY_CHECK_INTERVAL_S = 0.05
         try:
-            self.run_edge(body)
+            self.run_server(body)
         finally:
             http_server.IDLE_TIMEOUT_S, http_server.EXPIRY_CHECK_INTERVAL_S = limits
 
 
-class KeepAliveTest(EdgeTestCase):
+class KeepAliveTest(ServerTestCase):
     def test_pipelined_requests_get_responses_in_order(self) -> None:
         async def body(address: str) -> None:
             data = b"".join(
@@ -196,7 +196,7 @@
             order = [response.index(b"/%d 0" % i) for i in range(6)]
             self.assertEqual(order, sorted(order))
 
-        self.run_edge(body)
+        self.run_server(body)
 
     def test_expect_continue_gets_100_before_the_body(self) -> None:
         async def body(address: str) -> None:
@@ -208,27 +208,27 @@
             await stream.send_all(b"abc")
             self.assertIn(b"/a 3", await stream.receive_some(1000))
 
-        self.run_edge(body)
+        self.run_server(body)
 
     def test_absolute_target_is_reduced_to_its_path(self) -> None:
         async def body(address: str) -> None:
             data = b"GET http://a/x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
             self.assertIn(b"/x 0", await self.exchange(address, data))
 
-        self.run_edge(body)
+        self.run_server(body)
 
-    def test_draining_edge_closes_after_the_current_request(self) -> None:
+    def test_draining_server_closes_after_the_current_request(self) -> None:
         async def body(address: str) -> None:
-            self.edge.drain()
+            self.server.drain()
             response = await self.exchange(
                 address, b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n"
             )
             self.assertIn(b"connection: close", response)
 
-        self.run_edge(body)
+        self.run_server(body)
 
 
-class TruncatedResponseTest(EdgeTestCase):
+class TruncatedResponseTest(ServerTestCase):
     def test_truncated_response_is_an_error_for_the_client(self) -> None:
         for headers in ([(b"content-length", b"9")], []):
             with self.subTest(headers):
@@ -244,7 +244,7 @@
                     await pool.request("GET", f"http://{address}:{PORT}/")
 
         self.handler = truncate
-        self.run_edge(body)
+        self.run_server(body)
 
     def test_truncated_response_to_http_1_0_resets_the_connection(self) -> None:
         async def truncate(req: HttpRequest, responder: HttpResponder) -> None:
@@ -258,10 +258,10 @@
                     await trio.sleep(0.02)
 
         self.handler = truncate
-        self.run_edge(body)
+        self.run_server(body)
 
 
-class CallerDisconnectTest(EdgeTestCase):
+class CallerDisconnectTest(ServerTestCase):
     def test_request_is_cancelled_when_the_caller_disconnects(self) -> None:
         cancelled = trio.Event()
 
@@ -280,21 +280,21 @@
                 await cancelled.wait()
 
         self.handler = hang
-        self.run_edge(body)
+        self.run_server(body)
 
 
-class StopAcceptingTest(EdgeTestCase):
+class StopAcceptingTest(ServerTestCase):
     def test_connection_made_before_the_close_is_served(self) -> None:
         async def body(address: str) -> None:
-            # The kernel has accepted the connection, the edge has not yet.
+            # The kernel has accepted the connection, the server has not yet.
             with socket.create_connection((address, PORT)) as sock:
                 sock.sendall(b"GET /late HTTP/1.1\r\nHost: a\r\n\r\n")
-                self.edge.stop_accepting()
-                while self.edge.is_busy:
+                self.server.stop_accepting()
+                while self.server.is_busy:
                     await trio.sleep(0.01)
                 sock.settimeout(0.0)
                 self.assertIn(b"/late 0", sock.recv(1000))
             with self.assertRaises(OSError):
                 await trio.open_tcp_stream(address, PORT)
 
-        self.run_edge(body)
+        self.run_server(body)
--- a/tests/test_routing/test_least_time.py
+++ b/tests/test_routing/test_least_time.py
@@ -21,7 +21,7 @@
 
 
 class UnevenLoadTest(unittest.TestCase):
-    """One region is loaded while servers across the link have free slots."""
+    """One region is loaded while the other one has free slots."""
 
     def setUp(self) -> None:
         self.near = [make_target(f"near{i}") for i in range(2)]
--- a/tests/test_routing/test_overload.py
+++ b/tests/test_routing/test_overload.py
@@ -91,8 +91,8 @@
     """A burst of higher priority arrives while lower-priority requests wait."""
 
     def test_overtaken_request_is_refused_early_enough_to_retry(self) -> None:
-        run = trio.testing.MockClock(autojump_threshold=0)
-        trio.run(self._check_overtaken_request, clock=run)
+        clock = trio.testing.MockClock(autojump_threshold=0)
+        trio.run(self._check_overtaken_request, clock=clock)
 
     async def _check_overtaken_request(self) -> None:
         gate = AdmissionGate(
--- a/tests/test_routing/test_request_log.py
+++ b/tests/test_routing/test_request_log.py
@@ -37,7 +37,7 @@
 
 
 class RequestLogTest(unittest.TestCase):
-    """Server errors are logged with the request id and the backend server."""
+    """Failures are logged with the backend server; successful requests are sampled."""
 
     def setUp(self) -> None:
         self.sink = MemoryEventLog()
--- a/tests/test_routing/test_tries.py
+++ b/tests/test_routing/test_tries.py
@@ -351,13 +351,13 @@
             sorted(elapsed_s for _, elapsed_s in results), [0.0, 0.0, 0.2, 0.7]
         )
 
-    def test_request_of_closed_caller_is_not_held(self) -> None:
+    def test_request_of_disconnected_caller_is_not_held(self) -> None:
         wait = FirstBundleWait(FIRST_BUNDLE_WAIT_S)
 
         async def main() -> None:
             req = HttpRequest(None)  # type: ignore[arg-type]
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._close_caller, req)
+                nursery.start_soon(self._disconnect_caller, req)
                 with self.assertRaises(CallerDisconnectedError):
                     await wait.wait(req, trio.current_time())
                 self.assertAlmostEqual(trio.current_time() - started, 0.1)
@@ -366,7 +366,7 @@
         clock = trio.testing.MockClock(autojump_threshold=0)
         trio.run(main, clock=clock)
 
-    async def _close_caller(self, req: HttpRequest) -> None:
+    async def _disconnect_caller(self, req: HttpRequest) -> None:
         await trio.sleep(0.1)
         req.caller_disconnected = True
         assert req.cancel_scope is not None
