--- a/tests/test_path/test_storm.py
+++ b/tests/test_path/test_storm.py
@@ -15,15 +15,15 @@
 from marigoldchute.standins.store import StoreFaults
 from tests.support.meshes import MeshTestCase
 
-CALL_INTERVAL_S = 0.02
+REQUEST_INTERVAL_S = 0.02
 FAULT_DURATION_S = 2.5
 FAULT_PAUSE_S = 0.8
 FAULT_COUNT = 6
-CALL_TIMEOUT_S = 8.0
+REQUEST_TIMEOUT_S = 8.0
 
 
 @dataclasses.dataclass(frozen=True)
-class CallRecord:
+class RequestResult:
     """One request and the outcome that its caller received.
 
     Parameters
@@ -52,11 +52,11 @@
     def setUp(self) -> None:
         super().setUp()
         self.rng = random.Random(self.seed)
-        self.records: list[CallRecord] = []
+        self.results: list[RequestResult] = []
 
     def test_requests_run_at_most_once_and_refused_ones_never(self) -> None:
         self.run_async(self._storm, 110)
-        outcomes = {item.outcome for item in self.records}
+        outcomes = {result.outcome for result in self.results}
         self.assertIn("completed", outcomes)
 
     async def _storm(self) -> None:
@@ -71,7 +71,7 @@
             names[-1], lambda s: all(m.version == 1 for m in s.members)
         )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._send_calls)
+            nursery.start_soon(self._send_requests)
             for number in range(1, FAULT_COUNT + 1):
                 await self._inject_fault(number)
                 await trio.sleep(FAULT_PAUSE_S)
@@ -156,18 +156,21 @@
         )
         await self.roll(path, self.rng.choice(self.mesh.plan.vms).name)
 
-    async def _send_calls(self) -> None:
-        async with httpcore.AsyncConnectionPool() as pool, trio.open_nursery() as calls:
+    async def _send_requests(self) -> None:
+        async with (
+            httpcore.AsyncConnectionPool() as pool,
+            trio.open_nursery() as nursery,
+        ):
             for number in range(1_000_000):
-                calls.start_soon(self._send_call, pool, f"call-{number}")
-                await trio.sleep(CALL_INTERVAL_S)
+                nursery.start_soon(self._send_request, pool, f"call-{number}")
+                await trio.sleep(REQUEST_INTERVAL_S)
 
-    async def _send_call(self, pool: httpcore.AsyncConnectionPool, key: str) -> None:
+    async def _send_request(self, pool: httpcore.AsyncConnectionPool, key: str) -> None:
         vm = self.rng.choice(self.mesh.plan.vms)
         size = self.rng.randrange(1, 3000)
         outcome, content = "nothing", b""
         try:
-            with trio.move_on_after(CALL_TIMEOUT_S):
+            with trio.move_on_after(REQUEST_TIMEOUT_S):
                 response = await pool.request(
                     "POST",
                     f"http://{vm.address}:8000/reservas/{key}",
@@ -180,7 +183,7 @@
                 content = response.content
         except (httpcore.NetworkError, httpcore.ProtocolError):
             pass
-        self.records.append(CallRecord(key, size, outcome, content))
+        self.results.append(RequestResult(key, size, outcome, content))
 
     async def _wait_until_recovered(self, names: list[str]) -> None:
         await self.mesh.set_proxy_rules()
@@ -214,10 +217,10 @@
                 runs[key] = runs.get(key, 0) + count
         duplicates = [key for key, count in runs.items() if count > 1]
         self.assertEqual(duplicates, [], "requests that ran more than once")
-        for item in self.records:
-            if item.outcome == "not-run":
-                self.assertEqual(runs.get(item.key, 0), 0, item)
-            elif item.outcome == "completed":
-                self.assertEqual(runs.get(item.key, 0), 1, item)
-                expected = b"r1 /reservas/%s %d\n" % (item.key.encode(), item.size)
-                self.assertEqual(item.content, expected)
+        for result in self.results:
+            if result.outcome == "not-run":
+                self.assertEqual(runs.get(result.key, 0), 0, result)
+            elif result.outcome == "completed":
+                self.assertEqual(runs.get(result.key, 0), 1, result)
+                expected = b"r1 /reservas/%s %d\n" % (result.key.encode(), result.size)
+                self.assertEqual(result.content, expected)
