--- a/marigoldchute/hosted/config_topic.py
+++ b/marigoldchute/hosted/bundle_topic.py
@@ -15,7 +15,7 @@
 
 
 class BundleApi(Protocol):
-    """Document of the store that holds the bundle."""
+    """Access to the bundle in the store."""
 
     @property
     def kind(self) -> str:
@@ -41,7 +41,7 @@
     Parameters
     ----------
     api : BundleApi
-        Document of the store that holds the bundle.
+        Bundle in the store.
     catalog : Catalog
         Catalog of this node.
     log : EventLog
@@ -58,7 +58,7 @@
         """Return the revision of the bundle in force."""
         return self._catalog.revision
 
-    def apply_page(self, page: DocumentPage, whole: bool) -> None:
+    def apply_page(self, page: DocumentPage, is_full_list: bool) -> None:
         """Apply the newest valid bundle of a page."""
         documents = [
             document
--- a/marigoldchute/hosted/catalog.py
+++ b/marigoldchute/hosted/catalog.py
@@ -139,7 +139,9 @@
     items: Items = {}
     if difference.base:
         if base is None or base.revision != difference.base:
-            raise PeerError("difference from another bundle", ResultCode.PEER_PROTOCOL)
+            raise PeerError(
+                "difference from another snapshot", ResultCode.PEER_PROTOCOL
+            )
         items = dict(base.items)
     for key in difference.removed:
         items.pop(key, None)
@@ -153,8 +155,8 @@
     Parameters
     ----------
     in_force : InForce
-        Replaced with each newer bundle; within a process the revision never
-        decreases.
+        Holder of the bundle in force, whose revision never decreases within a
+        process.
     log : EventLog
         Event log of the process.
     """
--- a/marigoldchute/hosted/directory.py
+++ b/marigoldchute/hosted/directory.py
@@ -43,7 +43,7 @@
         Event log of the process.
     """
 
-    fenced = False
+    fenced = False  # A hosted node is never fenced.
 
     def __init__(self, local: Member, table: RecordTable, log: EventLog) -> None:
         self._local = local
--- a/marigoldchute/hosted/discovery.py
+++ b/marigoldchute/hosted/discovery.py
@@ -24,7 +24,7 @@
 
 
 class MemberEntry(msgspec.Struct, frozen=True):
-    """Address of a node as stored in the store."""
+    """Entry of a node in the store: the address and port at which peers reach it."""
 
     address: str
     peer_port: int
--- a/marigoldchute/hosted/drain.py
+++ b/marigoldchute/hosted/drain.py
@@ -39,9 +39,9 @@
     Parameters
     ----------
     callers : HttpServer
-        Server for connections of callers.
+        HTTP server for callers.
     owner : Owner
-        Owner side of the node.
+        Owner side of the node, which runs requests on the backend server of this VM.
     directory : Directory
         Members of the mesh.
     grace_s : float
--- a/marigoldchute/hosted/node.py
+++ b/marigoldchute/hosted/node.py
@@ -8,8 +8,8 @@
 import trio
 
 from marigoldchute.bundle.inforce import InForce
+from marigoldchute.hosted.bundle_topic import BundleTopic
 from marigoldchute.hosted.catalog import Catalog
-from marigoldchute.hosted.config_topic import BundleTopic
 from marigoldchute.hosted.directory import Directory
 from marigoldchute.hosted.discovery import Discovery
 from marigoldchute.hosted.drain import NodeDrain
@@ -45,7 +45,7 @@
     from marigoldchute.admin.metrics import NodeSnapshot
     from marigoldchute.bundle.model import Bundle
     from marigoldchute.events import EventLog
-    from marigoldchute.hosted.config_topic import BundleApi
+    from marigoldchute.hosted.bundle_topic import BundleApi
     from marigoldchute.hosted.reader import Topic
     from marigoldchute.hosted.settings import HostedSettings
     from marigoldchute.link.link import Link
@@ -54,11 +54,12 @@
     from marigoldchute.routing.dialect import Dialect
     from marigoldchute.routing.http_server import RequestHandler
 
-# Only nodes share the network of a hosted mesh; the secret keeps meshes apart.
+# Only nodes share the network of a hosted mesh. The fixed secret only tells it apart
+# from a mesh with a configured secret.
 MESH_SECRET = b"marigoldchute hosted mesh"
 LINK_HEARTBEAT_MS = 500  # A link is closed after three missed heartbeats, 1.5 s.
 MAX_BUFFERED_RESPONSE_BYTES = 262_144
-CHECK_INTERVAL_S = 0.25
+EXPIRY_CHECK_INTERVAL_S = 0.25
 LEAVE_PROPAGATION_S = 0.05
 PEERS_TIMEOUT_S = 1.5
 # A few round trips between regions: opening a link, comparison and difference.
@@ -83,11 +84,11 @@
 
     @property
     def bundles(self) -> BundleApi:
-        """Document of the store that holds the bundle."""
+        """Access to the bundle in the store."""
 
     @property
     def orders(self) -> OrderApi:
-        """Documents of the store that hold the orders."""
+        """Access to the orders in the store."""
 
     @property
     def store(self) -> DocumentStore:
@@ -218,10 +219,12 @@
             self._registry, lambda: self._cfg.backend, self.is_ready, self._clock
         )
         metrics_page = MetricsPage(self._metrics_snapshot)
-        self._metrics_edge = HttpServer(metrics_page.handle, self._log_failure)
-        self._caller_edge = HttpServer(self.entry.handle_external, self._log_failure)
-        self._control_edge = HttpServer(control, self._log_failure)
-        self._readiness_edge = HttpServer(readiness, self._log_failure)
+        self._metrics_http_server = HttpServer(metrics_page.handle, self._log_failure)
+        self._caller_http_server = HttpServer(
+            self.entry.handle_external, self._log_failure
+        )
+        self._control_http_server = HttpServer(control, self._log_failure)
+        self._readiness_http_server = HttpServer(readiness, self._log_failure)
         self._in_force.add_swap_listener(self._apply_bundle)
         self.directory.on_view_changed += [
             self.entry.candidate_tables.mark_stale,
@@ -256,7 +259,7 @@
         self._started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             await nursery.start(self._owner.run)
-            await nursery.start(self._serve, self._control_edge, cfg.control)
+            await nursery.start(self._serve, self._control_http_server, cfg.control)
             await nursery.start(self._control_pool.run)
             await nursery.start(self._traffic_pool.run)
             await nursery.start(self._link_endpoint.serve, cfg.peer_port)
@@ -264,10 +267,12 @@
             nursery.start_soon(self._discovery.run)
             nursery.start_soon(self._relay.run)
             nursery.start_soon(self._expire_servers)
-            await nursery.start(self._serve, self._caller_edge, cfg.callers)
-            await nursery.start(self._serve, self._readiness_edge, cfg.readiness)
+            await nursery.start(self._serve, self._caller_http_server, cfg.callers)
+            await nursery.start(self._serve, self._readiness_http_server, cfg.readiness)
             await nursery.start(
-                self._serve, self._metrics_edge, Endpoint(cfg.address, cfg.metrics_port)
+                self._serve,
+                self._metrics_http_server,
+                Endpoint(cfg.address, cfg.metrics_port),
             )
             nursery.start_soon(self._driver.run)
             self._log.emit(
@@ -288,7 +293,9 @@
         self._draining = True
         self._log.emit("node", "draining", f"{self._cfg.name} is draining.")
         grace_s = self._cfg.bounds.grace_s
-        drain = NodeDrain(self._caller_edge, self._owner, self.directory, grace_s)
+        drain = NodeDrain(
+            self._caller_http_server, self._owner, self.directory, grace_s
+        )
         await drain.run(self._announce_leave)
         self._log.emit("node", "drained", f"{self._cfg.name} has drained.")
 
@@ -301,16 +308,18 @@
 
     async def _serve(
         self,
-        edge: HttpServer,
+        http_server: HttpServer,
         endpoint: Endpoint,
         task_status: trio.TaskStatus[Any] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        await edge.serve(endpoint.address, endpoint.port, task_status=task_status)
+        await http_server.serve(
+            endpoint.address, endpoint.port, task_status=task_status
+        )
 
     async def _expire_servers(self) -> None:
         while True:
             self._registry.expire(trio.current_time())
-            await trio.sleep(CHECK_INTERVAL_S)
+            await trio.sleep(EXPIRY_CHECK_INTERVAL_S)
 
     def _metrics_snapshot(self) -> NodeSnapshot:
         from marigoldchute.admin.metrics import MoveShare, NodeCounts, NodeSnapshot
@@ -343,7 +352,7 @@
             self._overlay.accept(link)
 
     def _apply_bundle(self, bundle: Bundle) -> None:
-        self._caller_edge.limits = bundle.content.limits
+        self._caller_http_server.limits = bundle.content.limits
         self._registry.refresh_limits()
 
     def _max_connections(self, service: str) -> int:
--- a/marigoldchute/hosted/reader.py
+++ b/marigoldchute/hosted/reader.py
@@ -33,6 +33,7 @@
 BACKUP_AFTER_S = 4.0
 DUTY_POLL_INTERVAL_S = 0.1
 RETRY_INTERVAL_S = 0.4
+# A member is near the store up to this multiple of the lowest latency of a member.
 NEAR_LATENCY_FACTOR = 3.0
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -69,15 +70,15 @@
     def applied_revision(self) -> int:
         """Return the revision up to which all changes are applied, 0 for none."""
 
-    def apply_page(self, page: DocumentPage, whole: bool) -> None:
-        """Apply changes, or all documents when ``whole``.
+    def apply_page(self, page: DocumentPage, is_full_list: bool) -> None:
+        """Apply the changes of a page, or all documents when ``is_full_list``.
 
         An invalid document is logged and leaves the previous state unchanged.
         """
 
 
 class ReaderDuty:
-    """Decides from beacons alone whether this node reads the store.
+    """Decides whether this node reads the store; beacons are its only messages.
 
     All nodes compute the same order of members, in which those near the store come
     first. The first ``NUM_READERS`` members read the store. A member that reads
@@ -142,7 +143,7 @@
         first = [member.name for member in self._ordered()[:NUM_READERS]]
         return [name for name in first if name != self.directory.local.name]
 
-    def is_leader(self, reads: bool, now: float) -> bool:
+    def is_leader(self, is_reading: bool, now: float) -> bool:
         """Return whether this node is the leader, which decides for all readers.
 
         The leader is the first member of the order that reads the store. While no
@@ -158,7 +159,7 @@
         """
         local = self.directory.local.name
         active = set(self.active_readers(now))
-        if reads:
+        if is_reading:
             active.add(local)
         ordered = [member.name for member in self._ordered()]
         if active:
@@ -280,17 +281,17 @@
         while True:
             await trio.sleep(BEACON_INTERVAL_S)
             now = trio.current_time()
-            reads = self._duty.is_reader(now) and self.is_reading(now)
-            if reads != self._was_reading:
-                self._was_reading = reads
+            is_reading = self._duty.is_reader(now) and self.is_reading(now)
+            if is_reading != self._was_reading:
+                self._was_reading = is_reading
                 event, text = ("duty_taken", "reads the store for the mesh")
-                if not reads:
+                if not is_reading:
                     event, text = (
                         "duty_lost",
                         "no longer reads the store for the mesh",
                     )
                 self._log.emit("reader", event, f"This node {text}.")
-            if reads:
+            if is_reading:
                 local = self._duty.directory.local
                 beacon = Beacon(
                     local.name, local.incarnation, next(self._beacon_numbers)
--- a/marigoldchute/hosted/relay.py
+++ b/marigoldchute/hosted/relay.py
@@ -21,10 +21,12 @@
     from marigoldchute.link.link import Link
     from marigoldchute.overlay.overlay import Overlay
 
-# A difference takes one round trip, and another neighbour may respond instead.
+# A difference takes one round trip. After the timeout the node fetches from another
+# neighbour that offers the bundle, if there is one.
 FETCH_TIMEOUT_S = 1.0
 FETCH_RETRY_DELAY_S = 0.1  # Delay while every neighbour with an offer has failed.
-# Repeated to one neighbour at a time; a bundle must be in force within 2.5 s.
+# An offer is repeated to one neighbour at a time. A bundle must be in force within
+# 2.5 s.
 REOFFER_INTERVAL_S = 1.0
 _REVISION = struct.Struct(">Q")
 
--- a/tests/test_hosted/test_drain.py
+++ b/tests/test_hosted/test_drain.py
@@ -69,7 +69,7 @@
 
 
 class NodeDrainTest(unittest.TestCase):
-    """Nodes restarted one after another, a second apart, each with its grace period."""
+    """Drain of one node while the nodes are restarted one after another, 1 s apart."""
 
     def setUp(self) -> None:
         self.owner = FakeOwner()
--- a/tests/test_hosted/test_reader.py
+++ b/tests/test_hosted/test_reader.py
@@ -130,10 +130,10 @@
                 sent.append(self.peer.name)
 
         links = [FakeLink("vm-1"), FakeLink("vm-3")]
-        for all_pairs, expected in ((False, ["vm-3"]), (True, [])):
+        for is_full_mesh, expected in ((False, ["vm-3"]), (True, [])):
             sent.clear()
             directory: Any = FakeDirectory("vm-2", NAMES, set(NAMES))
-            directory.is_full_mesh = all_pairs
+            directory.is_full_mesh = is_full_mesh
             duty = ReaderDuty(directory)
             overlay: Any = types.SimpleNamespace(
                 flood_links=lambda source="": [
--- a/tests/test_hosted/test_relay.py
+++ b/tests/test_hosted/test_relay.py
@@ -93,7 +93,7 @@
 
 
 class RelayTest(unittest.TestCase):
-    """Two linked nodes, the first of which has a bundle of the store."""
+    """Two linked nodes, the first of which has a bundle from the store."""
 
     def run_mesh(
         self, *, failures: int = 0, lose_offers: bool = False, invalid: bool = False
