--- a/marigoldchute/orders/driver.py
+++ b/marigoldchute/orders/driver.py
@@ -42,7 +42,8 @@
 TICK_INTERVAL_S = 0.1
 IDLE_TICK_INTERVAL_S = 0.5
 REPORT_INTERVAL_S = 0.25
-# From this share on, a faulty release can get a tenth of all requests in a second.
+# From this share on, a faulty release can exceed the allowed tenth of the requests,
+# see ``SCHEDULE``, within a second.
 FAST_REPORT_SHARE = SCHEDULE[-2].share
 FAST_REPORT_INTERVAL_S = 0.1
 REPORT_TIMEOUT_S = 0.5
@@ -126,6 +127,7 @@
         self._clock = clock
         self._documents: dict[str, OrderDocument] = {}
         self._started_at: dict[str, float] = {}
+        # Order id, step and start of the present share by service.
         self._share_since: dict[str, tuple[str, int, float]] = {}
         self._evidence: dict[str, OrderEvidence] = {}
         self.reader: StoreReader | None = None
@@ -136,7 +138,7 @@
         """Return 0, as a reader that starts needs the revision of each document."""
         return 0
 
-    def apply_page(self, page: DocumentPage, whole: bool) -> None:
+    def apply_page(self, page: DocumentPage, is_full_list: bool) -> None:
         """Apply documents from the store."""
         for document in page.documents:
             if document.deleted:
--- a/marigoldchute/orders/outcomes.py
+++ b/marigoldchute/orders/outcomes.py
@@ -14,6 +14,7 @@
     from marigoldchute.orders.book import OrderBook
     from marigoldchute.orders.model import OrderState
 
+# A response is slow above this multiple of the baseline latency of its route.
 SLOW_FACTOR = 4.0
 # A request that was cut off at its deadline would have taken longer than was measured.
 OVERDUE_FACTOR = 2.5
@@ -33,9 +34,10 @@
 # The prior of one route is the bad share of all routes, weighted as eight responses.
 ROUTE_PRIOR_RESPONSE_COUNT = 8.0
 COUNTED_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.UNKNOWN, Outcome.OVERDUE)
+# A node reports a fault from its own counts alone when all three are reached.
 LOCAL_MIN_BAD_COUNT = 6
 LOCAL_MIN_BAD_SHARE = 0.25
-LOCAL_MIN_BAD_RATIO = 3.0
+LOCAL_MIN_BAD_RATIO = 3.0  # Bad share of the new release to that of the old one.
 
 
 class RouteCounts(msgspec.Struct, frozen=True, array_like=True):
@@ -334,7 +336,9 @@
     """Return the maximum log likelihood ratio of spans of windows, newest first.
 
     A window adds no more than ``MAX_WINDOW_LOG``. A backend server that crashes fails
-    all its running requests at once, which does not prove a fault of the release.
+    all its running requests at once, which does not prove a fault of the release. The
+    logarithm of the number of hypotheses is subtracted, because the caller takes the
+    maximum over all of them.
     """
     bad_log_ratio = math.log(hypothesis / tolerated)
     good_log_ratio = math.log((1.0 - hypothesis) / (1.0 - tolerated))
--- a/marigoldchute/orders/schedule.py
+++ b/marigoldchute/orders/schedule.py
@@ -24,7 +24,8 @@
     max_hold_s : float
         Upper limit of that minimum hold time.
     min_responses : int
-        Responses of the target that must have been counted by the end of this share.
+        Responses of the target to wait for before the next share, for at most
+        ``MAX_RESPONSE_WAIT`` after ``end_fraction``.
     """
 
     share: float
@@ -38,16 +39,18 @@
         return min(self.max_hold_s, self.hold_fraction * duration_s)
 
 
-# A faulty release may get up to a tenth of all requests. The first shares detect a
-# release that fails from the start or after some time. They leave enough of that tenth
-# for one second at the full share, at which a release that fails under load is
-# detected. The hold time at full share lets running requests to the old release end.
+# A faulty release may get up to a tenth of the requests during an order. The first
+# shares detect a release that fails from the start or after some time. They leave
+# enough of that tenth for one second at the full share, at which a release that fails
+# under load is detected. The hold time at the full share lets running requests to the
+# old release end.
 SCHEDULE = (
     ScheduleStep(0.07, 0.46, 0.26, 3.5, 25),
     ScheduleStep(0.15, 0.57, 0.08, 1.2, 45),
     ScheduleStep(0.3, 0.62, 0.05, 0.8, 60),
     ScheduleStep(1.0, 0.72, 0.16, 2.2, 120),
 )
+MAX_RESPONSE_WAIT = 0.08  # Fraction of the duration to wait for ``min_responses``.
 # Evidence below the fault threshold delays the next raise. The delay ends while there
 # is still time to hold the full share for its minimum.
 MAX_RAISE_EVIDENCE = 0.3  # Fraction of the fault threshold.
@@ -108,7 +111,8 @@
     is_due = progress.elapsed_s >= schedule_step.end_fraction * duration_s
     if not is_due or (
         progress.responses < schedule_step.min_responses
-        and progress.elapsed_s < (schedule_step.end_fraction + 0.08) * duration_s
+        and progress.elapsed_s
+        < (schedule_step.end_fraction + MAX_RESPONSE_WAIT) * duration_s
     ):
         return None
     later_steps = [step for step in SCHEDULE if step.share > state.share]
--- a/tests/test_orders/test_outcomes.py
+++ b/tests/test_orders/test_outcomes.py
@@ -146,7 +146,7 @@
     return latency_ms, outcome
 
 
-class BadLaterTest(unittest.TestCase):
+class FaultAtLargerShareTest(unittest.TestCase):
     """A release that is good at a small share and fails at a larger one."""
 
     def test_release_that_fails_at_a_larger_share_is_detected_at_once(self) -> None:
@@ -160,10 +160,11 @@
                 self.assertLess(mesh.new_release_requests - requests_before, 130)
 
 
-class BadReleaseTest(unittest.TestCase):
+class FaultyReleaseTest(unittest.TestCase):
     """A release that is faulty from the start, at the request rate of a small site."""
 
     requests_per_s = 160.0
+    # A tenth of the requests during the order, and 50.
     allowed_requests = 0.1 * 160 * 16 + 50
 
     def run_shares(self, mesh: SimulatedMesh, behaviour) -> str:  # type: ignore[no-untyped-def]
@@ -198,6 +199,7 @@
     """Base for tests that run the schedule at the request rate of a small site."""
 
     requests_per_s = 83.0
+    # A tenth of the requests during the order, and 50.
     allowed_requests = 0.1 * 83 * 16 + 50
     report_delay_s = 0.25  # From a response until every node uses the share 0.
 
@@ -305,7 +307,7 @@
                 )
 
 
-class LateTest(ScheduleTestCase):
+class LateFaultTest(ScheduleTestCase):
     """A release that starts to fail some seconds after the order."""
 
     def test_exposure_stays_within_the_limit(self) -> None:
@@ -321,7 +323,7 @@
                     self.assertLess(mesh.new_release_requests, self.allowed_requests)
 
 
-class VeryLateTest(ScheduleTestCase):
+class VeryLateFaultTest(ScheduleTestCase):
     """A release that starts to fail at its full share, ten seconds after the order."""
 
     def test_exposure_stays_within_the_limit(self) -> None:
@@ -335,7 +337,7 @@
 
 
 class RareFaultTest(ScheduleTestCase):
-    """A release that fails four in ten requests of a route with one in twenty."""
+    """A release that fails four in ten requests of a route that gets one in twenty."""
 
     def test_exposure_stays_within_the_limit(self) -> None:
         for seed in range(60):
--- a/tests/test_orders/test_schedule.py
+++ b/tests/test_orders/test_schedule.py
@@ -22,17 +22,17 @@
 
 class ScheduleTest(unittest.TestCase):
     def run_schedule(
-        self, duration_s: float, per_s: float
+        self, duration_s: float, requests_per_s: float
     ) -> tuple[float, float, float]:
-        """Return the end time and the target's requests: before full share, all."""
+        """Return end time, and requests of the target before full share and in all."""
         state = OrderState("s", "v2", 7, 0, 0.0, OrderStage.WAITING, duration_s, ())
         now = raised_at = 0.5
         responses = before_full = 0.0
         while state.is_open:
             now += 0.1
-            responses += 0.1 * per_s * state.share
+            responses += 0.1 * requests_per_s * state.share
             if state.share < 1.0:
-                before_full += 0.1 * per_s * state.share
+                before_full += 0.1 * requests_per_s * state.share
             progress = Progress(now, now - raised_at, True, int(responses))
             new_state = next_state(state, progress)
             if new_state is not None:
@@ -42,15 +42,15 @@
 
     def test_good_order_is_done_before_the_deadline_at_every_rate(self) -> None:
         for duration_s in (5.0, 8.0, 12.0, 16.0, 60.0):
-            for per_s in (0.5, 10, 80, 400):
-                with self.subTest(duration_s=duration_s, per_s=per_s):
-                    done_at, _, _ = self.run_schedule(duration_s, per_s)
+            for requests_per_s in (0.5, 10, 80, 400):
+                with self.subTest(duration_s=duration_s, requests_per_s=requests_per_s):
+                    done_at, _, _ = self.run_schedule(duration_s, requests_per_s)
                     self.assertLess(done_at, FULL_SHARE_DEADLINE * duration_s)
 
     def test_target_gets_less_than_a_tenth_before_the_full_share(self) -> None:
-        for duration_s, per_s in ((12.0, 80), (16.0, 160), (15.0, 400)):
-            _, before_full, _ = self.run_schedule(duration_s, per_s)
-            self.assertLess(before_full, 0.1 * duration_s * per_s)
+        for duration_s, requests_per_s in ((12.0, 80), (16.0, 160), (15.0, 400)):
+            _, before_full, _ = self.run_schedule(duration_s, requests_per_s)
+            self.assertLess(before_full, 0.1 * duration_s * requests_per_s)
 
     def test_share_does_not_rise_without_servers_of_the_target(self) -> None:
         self.assertIsNone(next_state(make_state(), Progress(5.0, 5.0, False, 0)))
