--- a/marigoldchute/platform/__main__.py
+++ b/marigoldchute/platform/__main__.py
@@ -16,7 +16,7 @@
 from marigoldchute.platform.settings import read_settings, settings_path
 
 RELOAD_INTERVAL_S = 2.0  # The settings file may change without a SIGHUP.
-GC_THRESHOLD_0 = 20_000
+GC_THRESHOLD_0 = 20_000  # Net allocations that start a garbage collection.
 
 
 async def _run(node: HostedNode, path: str, log: EventLog) -> None:
--- a/marigoldchute/platform/control.py
+++ b/marigoldchute/platform/control.py
@@ -22,7 +22,7 @@
 READINESS_PATH = b"/api/readiness"
 MAX_REPORT_BYTES = 16_384
 MAX_SLOTS = 100_000
-_IS_DRAINING = {"ready": False, "draining": True}
+_DRAINING_BY_STATE = {"ready": False, "draining": True}
 
 
 class _Info(msgspec.Struct, frozen=True):
@@ -117,7 +117,7 @@
         if (address, port) != (backend.address, str(backend.port)):
             return f"{decoded.address} is not on this VM"
         info, status = decoded.info, decoded.status
-        draining = _IS_DRAINING.get(status.state)
+        draining = _DRAINING_BY_STATE.get(status.state)
         if draining is None:
             return f"state {status.state!r} is not known"
         if not instance or not info.service or not 1 <= info.slots <= MAX_SLOTS:
--- a/tests/test_platform/test_adapter.py
+++ b/tests/test_platform/test_adapter.py
@@ -149,7 +149,7 @@
 
 
 class BoundaryTest(unittest.TestCase):
-    """The platform's names and libraries do not spread beyond the adapter."""
+    """Platform names occur only in the adapter; all requirements are the project's."""
 
     def test_platform_names_are_used_only_in_the_adapter(self) -> None:
         names = ("Attempt-Id", "attempt-id", "virtual_hosts", "weighted_services")
