--- a/tests/support/documents.py
+++ b/tests/support/documents.py
@@ -73,7 +73,7 @@
         self._events: list[tuple[int, str, bool, dict[str, Any]]] = []
         self._revision = 1
         self._compacted_revision = 0
-        self._edge = HttpServer(self._handle)
+        self._http_server = HttpServer(self._handle)
 
     async def serve(
         self,
@@ -82,7 +82,7 @@
         task_status: trio.TaskStatus[Any] = trio.TASK_STATUS_IGNORED,
     ) -> None:
         """Serve until cancelled."""
-        await self._edge.serve(address, port, task_status=task_status)
+        await self._http_server.serve(address, port, task_status=task_status)
 
     def put(self, kind: str, name: str, spec: Any) -> int:
         """Write a document as an operator does; return its revision."""
--- a/tests/support/hosted.py
+++ b/tests/support/hosted.py
@@ -46,11 +46,11 @@
         self.acknowledged_sequence = 0
         self.requests: list[dict[str, str]] = []
         self.service_time_s = 0.02
-        self._edge = HttpServer(self._handle)
+        self._http_server = HttpServer(self._handle)
 
     async def run(self, task_status: Any = trio.TASK_STATUS_IGNORED) -> None:
         async with trio.open_nursery() as nursery:
-            await nursery.start(self._edge.serve, self.address, BACKEND_PORT)
+            await nursery.start(self._http_server.serve, self.address, BACKEND_PORT)
             nursery.start_soon(self._send_reports)
             task_status.started()
 
--- a/tests/support/soak.py
+++ b/tests/support/soak.py
@@ -97,7 +97,7 @@
     seed : int
         Seed of the plan.
     fault_period_s : float
-        Seconds after the start of traffic from which on no fault begins.
+        Seconds from the start of traffic in which faults may begin.
     names : list of str
         Names of the VMs.
     """
@@ -123,7 +123,7 @@
     results : list of CallerResult
         Results of the callers.
     executions : dict of str to list of str
-        Names of the backend servers that executed each request, by request.
+        Names of the backend servers that executed each request, by request id.
     """
     violations = []
     for result in results:
@@ -155,7 +155,7 @@
     seed : int
         Seed of the plan, the callers and the sizes.
     fault_period_s : float
-        Seconds after the start of traffic from which on no fault begins.
+        Seconds from the start of traffic in which faults may begin.
     """
 
     def __init__(self, seed: int, fault_period_s: float) -> None:
