--- a/marigoldchute/bundle/codec.py
+++ b/marigoldchute/bundle/codec.py
@@ -60,7 +60,7 @@
 
     The chunks depend on the items of the content and not on their order. Routes and
     moves of services that are missing in the content are encoded as last chunks, so
-    that validation can report them.
+    that validation can report them. Chunks do not contain the caller limits.
     """
     names = sorted({service.name for service in content.services})
     parts = [_service_part(content, name) for name in names]
@@ -204,7 +204,7 @@
     Raises
     ------
     BundleError
-        The bytes are not a manifest.
+        The bytes are too many, or not a manifest.
     """
     check_size("manifest", len(body), MAX_MANIFEST_BYTES)
     try:
--- a/marigoldchute/bundle/model.py
+++ b/marigoldchute/bundle/model.py
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """Step of a move.
+    """One traffic share of a move and its minimum duration.
 
     Parameters
     ----------
--- a/marigoldchute/bundle/signoff.py
+++ b/marigoldchute/bundle/signoff.py
@@ -101,7 +101,7 @@
 def sign_content(
     content: BundleContent, version: int, key: KeyFile, author: str
 ) -> RollRequest:
-    """Sign content as a version and return the roll order for a node."""
+    """Sign content as a version and return the request to roll it."""
     chunks = split_content(content)
     manifest = sign_manifest(
         version,
--- a/marigoldchute/bundle/succession.py
+++ b/marigoldchute/bundle/succession.py
@@ -59,7 +59,7 @@
 def effective_releases(
     content: BundleContent, verdicts: Mapping[str, str]
 ) -> dict[str, str]:
-    """Return the release that serves each service without an undecided move."""
+    """Return the release in force of each service that has no undecided move."""
     releases = {service.name: service.release for service in content.services}
     for move in content.moves:
         verdict = verdicts.get(move.move_id)
--- a/tests/test_bundle/test_codec.py
+++ b/tests/test_bundle/test_codec.py
@@ -84,9 +84,9 @@
         manifest = _manifest(chunks)
         chunks_by_digest = {chunk_digest(chunk): chunk for chunk in chunks}
         digest = data.draw(st.sampled_from(sorted(chunks_by_digest)))
-        fault = data.draw(st.sampled_from(["missing", "cut", "altered"]))
+        fault = data.draw(st.sampled_from(["missing", "truncated", "altered"]))
         chunk = chunks_by_digest.pop(digest)
-        if fault == "cut":
+        if fault == "truncated":
             chunks_by_digest[digest] = chunk[
                 : data.draw(st.integers(0, len(chunk) - 1))
             ]
--- a/tests/test_bundle/test_signoff.py
+++ b/tests/test_bundle/test_signoff.py
@@ -91,13 +91,13 @@
         self,
     ) -> None:
         key = new_key()
-        order = sign_content(
+        request = sign_content(
             parse_bundle_content(SOURCE, "b.json", NOW_MS), 7, key, "an operator"
         )
-        value = to_json(order)
+        value = to_json(request)
         self.assertTrue(is_signed_bundle(value))
-        self.assertEqual(parse_signed_bundle(value, "signed.json"), order)
-        manifest = decode_manifest(order.manifest)
+        self.assertEqual(parse_signed_bundle(value, "signed.json"), request)
+        manifest = decode_manifest(request.manifest)
         SignatureVerifier([TrustedKey(key.key_id, key.public_key)]).verify(manifest)
         self.assertEqual((manifest.version, manifest.author), (7, "an operator"))
 
--- a/tests/test_bundle/test_validation.py
+++ b/tests/test_bundle/test_validation.py
@@ -33,17 +33,17 @@
 
 class ValidationTest(unittest.TestCase):
     def assert_refused(
-        self, bundle: BundleContent, code: ResultCode, path: str
+        self, content: BundleContent, code: ResultCode, path: str
     ) -> None:
         with self.assertRaises(MarigoldchuteError) as caught:
-            validate_content(bundle)
+            validate_content(content)
         self.assertEqual(caught.exception.code, code, caught.exception)
         self.assertIn(path, caught.exception.message)
 
     @settings(derandomize=True, max_examples=50, deadline=None)
     @given(bundle_contents())
-    def test_valid_content_is_accepted(self, bundle: BundleContent) -> None:
-        validate_content(bundle)
+    def test_valid_content_is_accepted(self, content: BundleContent) -> None:
+        validate_content(content)
 
     def test_values_out_of_range_are_refused(self) -> None:
         cases: list[tuple[BundleContent, str]] = [
@@ -88,9 +88,9 @@
                 "$.moves[0].thresholds.false_alarm",
             ),
         ]
-        for bundle, path in cases:
+        for content, path in cases:
             with self.subTest(path=path):
-                self.assert_refused(bundle, ResultCode.BUNDLE_VALUE_OUT_OF_RANGE, path)
+                self.assert_refused(content, ResultCode.BUNDLE_VALUE_OUT_OF_RANGE, path)
 
     def test_duplicate_names_are_refused(self) -> None:
         turnos = Service("turnos", "r1")
@@ -103,44 +103,44 @@
                 "$.routes[1].path_prefix",
             ),
         ]
-        for bundle, path in cases:
+        for content, path in cases:
             with self.subTest(path=path):
-                self.assert_refused(bundle, ResultCode.BUNDLE_DUPLICATE_NAME, path)
+                self.assert_refused(content, ResultCode.BUNDLE_DUPLICATE_NAME, path)
 
     def test_missing_references_are_refused(self) -> None:
         code = ResultCode.BUNDLE_REFERENCE_MISSING
         self.assert_refused(_with_route(service="x"), code, "$.routes[0].service")
-        bundle = make_content("r1", make_move(service="x"))
-        self.assert_refused(bundle, code, "$.moves[0].service")
-        bundle = _with_services(Service("a", "r1", depends_on=("b",)))
-        self.assert_refused(bundle, code, "$.services[0].depends_on[0]")
+        content = make_content("r1", make_move(service="x"))
+        self.assert_refused(content, code, "$.moves[0].service")
+        content = _with_services(Service("a", "r1", depends_on=("b",)))
+        self.assert_refused(content, code, "$.services[0].depends_on[0]")
 
     def test_dependency_cycle_is_refused_with_its_services(self) -> None:
-        bundle = _with_services(
+        content = _with_services(
             Service("a", "r1", depends_on=("b",)),
             Service("b", "r1", depends_on=("c",)),
             Service("c", "r1", depends_on=("a",)),
         )
-        self.assert_refused(bundle, ResultCode.BUNDLE_REFERENCE_CYCLE, " -> ")
+        self.assert_refused(content, ResultCode.BUNDLE_REFERENCE_CYCLE, " -> ")
 
     def test_too_many_items_are_refused(self) -> None:
         services = tuple(Service(f"s{i}", "r1") for i in range(1001))
         code = ResultCode.BUNDLE_TOO_LARGE
         self.assert_refused(_with_services(*services), code, "$.services")
         steps = tuple(Step((i + 1) / 60, 0) for i in range(60))
-        bundle = make_content("r1", make_move(steps=steps))
-        self.assert_refused(bundle, code, "$.moves[0].steps")
+        content = make_content("r1", make_move(steps=steps))
+        self.assert_refused(content, code, "$.moves[0].steps")
 
     def test_invalid_moves_are_refused(self) -> None:
         code = ResultCode.MOVE_INVALID
-        bundle = make_content("r1", make_move(new_release="r1"))
-        self.assert_refused(bundle, code, "$.moves[0].new_release")
-        bundle = make_content("r1", make_move(steps=(Step(0.5, 0),)))
-        self.assert_refused(bundle, code, "$.moves[0].steps")
-        bundle = make_content("r7", make_move())
-        self.assert_refused(bundle, code, "$.moves[0]")
-        bundle = make_content("r1", make_move("a"), make_move("b"))
-        self.assert_refused(bundle, ResultCode.MOVE_OVERLAP, "$.moves[1].service")
-        bundle = make_content("r1", make_move(deadline_ms=1_500))
+        content = make_content("r1", make_move(new_release="r1"))
+        self.assert_refused(content, code, "$.moves[0].new_release")
+        content = make_content("r1", make_move(steps=(Step(0.5, 0),)))
+        self.assert_refused(content, code, "$.moves[0].steps")
+        content = make_content("r7", make_move())
+        self.assert_refused(content, code, "$.moves[0]")
+        content = make_content("r1", make_move("a"), make_move("b"))
+        self.assert_refused(content, ResultCode.MOVE_OVERLAP, "$.moves[1].service")
+        content = make_content("r1", make_move(deadline_ms=1_500))
         code = ResultCode.MOVE_DEADLINE_TOO_SHORT
-        self.assert_refused(bundle, code, "$.moves[0].deadline_ms")
+        self.assert_refused(content, code, "$.moves[0].deadline_ms")
