--- a/marigoldchute/link/endpoint.py
+++ b/marigoldchute/link/endpoint.py
@@ -79,7 +79,7 @@
         self._closed_link_totals: dict[str, ByteTotals] = {}
 
     def begin_incarnation(self, incarnation: int) -> None:
-        """Switch to a new incarnation and close the control links of the old one."""
+        """Switch to a new incarnation and close all links but those for traffic."""
         local = self.local
         self.local = PeerIdentity(
             local.name, incarnation, local.data_centre, local.region
@@ -106,7 +106,7 @@
         port : int
             TCP port on which the peer accepts links.
         purpose : str
-            ``control`` or ``traffic``.
+            ``control``, ``control-call`` or ``traffic``.
 
         Returns
         -------
--- a/marigoldchute/link/handshake.py
+++ b/marigoldchute/link/handshake.py
@@ -40,7 +40,8 @@
     data_centre, region : str
         Location of the VM.
     purpose : str
-        ``control`` or ``traffic``, set by the end that opened the connection.
+        ``control`` for the overlay, ``control-call`` for calls to any member or
+        ``traffic`` for requests; set by the end that opened the connection.
     """
 
     name: str
@@ -83,7 +84,8 @@
             raise PeerError("peer refused the connection", _decode_result_code(body))
         if kind != FrameKind.HELLO:
             raise PeerError(
-                "peer sent another frame before the handshake", ResultCode.PEER_PROTOCOL
+                "peer sent a frame other than HELLO in the handshake",
+                ResultCode.PEER_PROTOCOL,
             )
         try:
             return msgspec.msgpack.decode(body, type=_Hello)
--- a/marigoldchute/link/link.py
+++ b/marigoldchute/link/link.py
@@ -17,7 +17,7 @@
 
 from marigoldchute.errors import MarigoldchuteError, PeerError, ResultCode
 from marigoldchute.link.frames import FrameDecoder, FrameKind, encode_frame
-from marigoldchute.link.reply import FAILURE_CODE, PendingCall
+from marigoldchute.link.pending_call import FAILURE_CODE, PendingCall
 from marigoldchute.link.stream import MAX_DATA_BYTES, Stream, encode_complete_stream
 
 if TYPE_CHECKING:
@@ -135,7 +135,7 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Number of bytes that are not yet written; at least 1 during a write."""
+        """Number of queued bytes, plus 1 while earlier bytes are being written."""
         return len(self._write_buffer) + self._write_in_progress
 
     async def run(self) -> None:
--- a/marigoldchute/link/pool.py
+++ b/marigoldchute/link/pool.py
@@ -26,7 +26,7 @@
     endpoint : LinkEndpoint
         Opens the links.
     purpose : str
-        ``control`` or ``traffic``.
+        ``control-call`` or ``traffic``.
     address_of : callable
         Returns the address and port of a member by name, or None when it is unknown.
     find_shared_link : callable, optional
--- a/marigoldchute/link/stream.py
+++ b/marigoldchute/link/stream.py
@@ -38,7 +38,8 @@
 
     The end that opens a stream sends its head with ``Link.open_stream``; the other
     end responds with ``send_head``. The receiver returns credit for the data that it
-    has consumed, so a slow reader buffers at most ``WINDOW_BYTES``.
+    has consumed, so a slow reader buffers at most ``WINDOW_BYTES`` and the rest of one
+    frame.
     """
 
     def __init__(self, link: Link, number: int, head: bytes) -> None:
