--- a/marigoldchute/overlay/flooding.py
+++ b/marigoldchute/overlay/flooding.py
@@ -47,10 +47,11 @@
 
     The member where a record originates or enters a data centre sends it to every
     neighbour in that data centre. These forward it to a few members along the ring in
-    case the first member is interrupted. The originating member and the gateways, which
-    come first in an order that all members compute alike, send it to other data centres
-    and regions, each to the first ``GATEWAYS_PER_SIDE`` members there. Unreachable
-    members are skipped. Anti-entropy delivers records that were lost on all paths.
+    case the first member is interrupted before it has sent the record to all. The
+    originating member and the gateways, which come first in an order that all members
+    compute alike, send it to other data centres and regions, each to the first
+    ``GATEWAYS_PER_SIDE`` members there. Unreachable members are skipped. Anti-entropy
+    delivers records that were lost on all paths.
 
     Parameters
     ----------
@@ -109,23 +110,24 @@
         self,
         others: dict[str, list[str]],
         local_names: list[str],
-        place: str,
+        local_group: str,
         topic_of: Callable[[str, str], str],
     ) -> set[str]:
         assigned = {
             other: names
             for other, names in others.items()
-            if self._local.name in _select_gateways(local_names, topic_of(place, other))
+            if self._local.name
+            in _select_gateways(local_names, topic_of(local_group, other))
         }
-        return _remote_targets(assigned, place, topic_of)
+        return _remote_targets(assigned, local_group, topic_of)
 
 
 def _remote_targets(
-    others: dict[str, list[str]], place: str, topic_of: Callable[[str, str], str]
+    others: dict[str, list[str]], local_group: str, topic_of: Callable[[str, str], str]
 ) -> set[str]:
     targets: set[str] = set()
     for other, names in others.items():
-        targets.update(_select_gateways(names, topic_of(place, other)))
+        targets.update(_select_gateways(names, topic_of(local_group, other)))
     return targets
 
 
--- a/marigoldchute/overlay/overlay.py
+++ b/marigoldchute/overlay/overlay.py
@@ -26,7 +26,7 @@
 MAINTENANCE_INTERVAL_S = 0.25
 SIMULTANEOUS_WINDOW_S = 7.5
 UNWANTED_IDLE_S = 15.0
-RETIRE_TIMEOUT_S = 10.0  # Longer than any request.
+RETIRE_TIMEOUT_S = 10.0  # Longer than requests normally take.
 # Requests that the peer sent before it switched links have arrived by then.
 RETIRE_IDLE_S = 1.0
 RETIRE_POLL_INTERVAL_S = 0.1
@@ -45,7 +45,11 @@
         """Return addresses to dial once, regardless of existing links."""
 
     def link_lost(self, name: str, refused: bool, now: float) -> None:
-        """Handle a link that has ended or could not be opened."""
+        """Handle a link that has ended or could not be opened.
+
+        ``refused`` tells whether the connection was refused, so that no node listens
+        on the port of the peer.
+        """
 
     def link_up(self, name: str, incarnation: int, now: float) -> None:
         """Handle a new link to a peer."""
@@ -153,7 +157,8 @@
     def _close_unwanted(self, wanted: dict[str, tuple[str, int]]) -> None:
         """Close links that this node opened and no longer wants.
 
-        Links also carry requests, so one that is still used stays open.
+        Links also carry requests, so one that is still used stays open. Nothing is
+        closed while no wanted peer is linked.
         """
         if len(wanted.keys() & self._neighbours.keys()) == 0:
             return
@@ -207,7 +212,7 @@
             self._directory.link_lost(peer.name, False, trio.current_time())
 
     def _replace_link(self, name: str, link: Link) -> bool:
-        """Return whether a new link replaces the existing one, and retire that if so.
+        """Return whether a new link replaces the existing one, which is then retired.
 
         The newer link is kept, because its opener had a reason to open it. When both
         ends connected at the same time, both keep the link that the member with the
@@ -271,7 +276,7 @@
 
     async def _run_repair(self, neighbour: _Neighbour) -> None:
         if self._compares_with_region(neighbour.link.peer.region):
-            # Most differences arrive meanwhile from that region and are not sent again.
+            # Most differences arrive meanwhile over the other link and are not resent.
             await trio.sleep(LATER_COMPARE_DELAY_S * self._rng.uniform(0.5, 1.5))
         neighbour.compare_started = True
         while True:
--- a/marigoldchute/overlay/records.py
+++ b/marigoldchute/overlay/records.py
@@ -93,7 +93,7 @@
         self._on_change.append(listener)
 
     def apply(self, record: Record, source: str = "") -> bool:
-        """Store a record if its rank is higher than that of the stored one.
+        """Store a valid record if its rank is higher than that of the stored one.
 
         Parameters
         ----------
@@ -151,7 +151,7 @@
     def newer_than(
         self, ids: Iterable[RecordId], buckets: Iterable[int]
     ) -> list[Record]:
-        """Return the stored records in buckets that ``ids`` lacks or has older."""
+        """Return the stored records in buckets that ``ids`` lacks or ranks lower."""
         known_ranks = {(item.kind, item.key): item.rank for item in ids}
         selected = set(buckets)
         return [
--- a/marigoldchute/overlay/repair.py
+++ b/marigoldchute/overlay/repair.py
@@ -31,7 +31,8 @@
 class PullResponse(msgspec.Struct, frozen=True, array_like=True):
     """Records that the caller lacks and identities of those that the callee lacks.
 
-    ``more`` is set when ``records`` was truncated at ``MAX_BATCH_BYTES``.
+    ``more`` is set when ``records`` was truncated at ``MAX_BATCH_BYTES``; in that case
+    ``missing`` is empty.
     """
 
     records: list[Record]
--- a/marigoldchute/overlay/topology.py
+++ b/marigoldchute/overlay/topology.py
@@ -19,8 +19,9 @@
 
     from marigoldchute.membership.model import Member
 
+# Gateways on each side between two data centres or regions, linked one to one.
 GATEWAYS_PER_PAIR = 2
-# 0.5 MB; flooding a record to 100 members in 6 data centres needs 1,000 entries.
+# Takes 0.5 MB; flooding a record to 100 members in 6 data centres needs 1,000 entries.
 WEIGHT_CACHE_SIZE = 4096
 
 
@@ -86,10 +87,10 @@
         for member in members
         if member.state in (MemberState.ALIVE, MemberState.DRAINING)
     ]
-    return _ring_fingers(local, reachable) | _gateway_peers(local, reachable)
+    return _ring_peers(local, reachable) | _gateway_peers(local, reachable)
 
 
-def _ring_fingers(local: Member, members: list[Member]) -> set[str]:
+def _ring_peers(local: Member, members: list[Member]) -> set[str]:
     candidates = [
         member for member in members if member.data_centre == local.data_centre
     ]
--- a/tests/test_overlay/test_flooding.py
+++ b/tests/test_overlay/test_flooding.py
@@ -20,13 +20,15 @@
         self, per_data_centre: int, data_centres: int = 2, regions: int = 2
     ) -> None:
         locations = [
-            (region, f"{region}-{centre}")
+            (region, f"{region}-{number}")
             for region in REGIONS[:regions]
-            for centre in range(data_centres)
+            for number in range(data_centres)
         ]
         self.peers = {
-            f"{centre}-{index}": PeerIdentity(f"{centre}-{index}", 1, centre, region)
-            for region, centre in locations
+            f"{data_centre}-{index}": PeerIdentity(
+                f"{data_centre}-{index}", 1, data_centre, region
+            )
+            for region, data_centre in locations
             for index in range(per_data_centre)
         }
         self.links = {name: set(self.peers) - {name} for name in self.peers}
@@ -56,7 +58,7 @@
         one, two = self.peers[name], self.peers[other]
         if one.region != two.region:
             return "region"
-        return "none" if one.data_centre == two.data_centre else "centre"
+        return "none" if one.data_centre == two.data_centre else "data_centre"
 
     def flood(self, start: str) -> set[str]:
         """Return the names of the members that receive a record of ``start``."""
@@ -90,8 +92,8 @@
             mesh.flood(min(mesh.peers))
             with self.subTest(per_data_centre=per_data_centre):
                 self.assertLessEqual(mesh.pushes["region"], max_crossings)
-                # Each member that receives it in the other region forwards it there.
-                self.assertLessEqual(mesh.pushes["centre"], 3 * max_crossings)
+                # Each receiving member of the other region forwards it to data centres.
+                self.assertLessEqual(mesh.pushes["data_centre"], 3 * max_crossings)
 
     def test_pushes_within_data_centres_are_at_most_eight_per_member(self) -> None:
         mesh = Mesh(16, 3, 2)
--- a/tests/test_overlay/test_overlay.py
+++ b/tests/test_overlay/test_overlay.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-OWN = PeerIdentity("vm-1", 1, "dc", "r")
+LOCAL = PeerIdentity("vm-1", 1, "dc", "r")
 
 
 class FakeLink:
@@ -51,7 +51,7 @@
 class FakeEndpoint:
     """Opens a link to each dialled peer, whose address is its name."""
 
-    local = OWN
+    local = LOCAL
 
     def __init__(self) -> None:
         self.links: dict[str, FakeLink] = {}
--- a/tests/test_overlay/test_repair.py
+++ b/tests/test_overlay/test_repair.py
@@ -15,7 +15,7 @@
 from marigoldchute.overlay.records import Record, RecordKind, RecordTable
 from marigoldchute.overlay.repair import MAX_BATCH_BYTES, Repair, split_batches
 
-MEMBERS = 870
+MEMBER_COUNT = 870
 
 
 def _make_record(key: str, rank: int, size: int = 300) -> Record:
@@ -80,7 +80,7 @@
 class RepairTest(unittest.TestCase):
     def test_equal_tables_exchange_digests_only(self) -> None:
         ours, theirs = _Node(), _Node()
-        for i in range(MEMBERS):
+        for i in range(MEMBER_COUNT):
             ours.table.apply(_make_record(str(i), 1))
             theirs.table.apply(_make_record(str(i), 1))
         link = _synchronize(ours, theirs)
@@ -88,7 +88,7 @@
 
     def test_one_difference_costs_one_bucket_of_identities_and_one_body(self) -> None:
         ours, theirs = _Node(), _Node()
-        for i in range(MEMBERS):
+        for i in range(MEMBER_COUNT):
             ours.table.apply(_make_record(str(i), 1))
             theirs.table.apply(_make_record(str(i), 1 + (i == 5)))
         link = _synchronize(ours, theirs)
@@ -97,7 +97,7 @@
 
     def test_joining_node_receives_all_records_in_bounded_batches(self) -> None:
         ours, theirs = _Node(), _Node()
-        for i in range(MEMBERS):
+        for i in range(MEMBER_COUNT):
             theirs.table.apply(_make_record(str(i), 1))
         link = _synchronize(ours, theirs)
         self.assertEqual(ours.table.digests(), theirs.table.digests())
