--- a/marigoldchute/distribution/fetch.py
+++ b/marigoldchute/distribution/fetch.py
@@ -15,7 +15,7 @@
 
     from marigoldchute.bundle.model import Manifest
     from marigoldchute.distribution.chunks import ChunkCache
-    from marigoldchute.distribution.holders import PeerVersions
+    from marigoldchute.distribution.peer_versions import PeerVersions
     from marigoldchute.distribution.transfer import TransferPolicy
     from marigoldchute.events import EventLog
     from marigoldchute.link.link import Link
@@ -85,7 +85,9 @@
         local = self._membership.local
         other_regions_allowed = waited_s >= self._policy.other_region_delay_s()
         links = [
-            x for x in links if other_regions_allowed or x.peer.region == local.region
+            link
+            for link in links
+            if other_regions_allowed or link.peer.region == local.region
         ]
         self._rng.shuffle(links)
         return sorted(
--- a/marigoldchute/distribution/joining.py
+++ b/marigoldchute/distribution/initial_sync.py
@@ -21,10 +21,10 @@
 CALL_TIMEOUT_S = 1.0
 REQUIRED_PEER_COUNT = 3
 SYNC_TIMEOUT_S = 1.0
-STORE_RESPONDER = "/store"  # Member names contain no slash.
+STORE_RESPONDER = "/store"  # Not a member: their names contain no slash.
 
 
-class _HeadResponse(msgspec.Struct, frozen=True, array_like=True):
+class _ManifestResponse(msgspec.Struct, frozen=True, array_like=True):
     """Response of a member to a joining node.
 
     Parameters
@@ -42,7 +42,7 @@
     manifest: bytes
 
 
-_HEAD_RESPONSE = msgspec.msgpack.Decoder(_HeadResponse)
+_MANIFEST_RESPONSE = msgspec.msgpack.Decoder(_ManifestResponse)
 
 
 class InitialSync:
@@ -51,8 +51,8 @@
     A node is synchronized once ``REQUIRED_PEER_COUNT`` synchronized peers have
     responded, or all others in a smaller mesh, or ``SYNC_TIMEOUT_S`` after the first
     response or manifest when no further peers respond. The first peer to respond may
-    be behind, and the store may return stale data, so a single response is sufficient
-    only in a mesh of two.
+    be behind, and the store may return stale data, so only in a mesh of two is a single
+    response sufficient without waiting.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._responders: set[str] = set()
         self._data_received_at: float | None = None
         self.synchronized = trio.Event()
-        handlers.register(Method.GET_LATEST_MANIFEST, self._handle_get_head)
+        handlers.register(Method.GET_NEWEST_MANIFEST, self._handle_get_newest_manifest)
 
     def record_store_read(self) -> None:
         """Count the store as one of the responders."""
@@ -84,23 +84,23 @@
             async with trio.open_nursery() as nursery:
                 for link in links:
                     if link.peer.name not in self._responders:
-                        nursery.start_soon(self._request_head, link)
+                        nursery.start_soon(self._request_newest_manifest, link)
             self._update_state(trio.current_time())
             with trio.move_on_after(POLL_INTERVAL_S):
                 await self.synchronized.wait()
 
-    async def _request_head(self, link: Link) -> None:
+    async def _request_newest_manifest(self, link: Link) -> None:
         try:
-            response = await link.call(Method.GET_LATEST_MANIFEST, b"", CALL_TIMEOUT_S)
-            head = _HEAD_RESPONSE.decode(response)
+            response = await link.call(Method.GET_NEWEST_MANIFEST, b"", CALL_TIMEOUT_S)
+            result = _MANIFEST_RESPONSE.decode(response)
         except (PeerError, msgspec.DecodeError):
             return
-        if head.manifest:
-            self._on_manifest(head.manifest)
+        if result.manifest:
+            self._on_manifest(result.manifest)
         self._reported_member_count = max(
-            self._reported_member_count, head.member_count
+            self._reported_member_count, result.member_count
         )
-        if head.synchronized:
+        if result.synchronized:
             self._responders.add(link.peer.name)
 
     def _update_state(self, now: float) -> None:
@@ -116,9 +116,9 @@
         if len(self._responders) >= required_count or timed_out:
             self.synchronized.set()
 
-    async def _handle_get_head(self, link: Link, body: bytes) -> bytes:
+    async def _handle_get_newest_manifest(self, link: Link, body: bytes) -> bytes:
         member_count = self._count_members()
-        head = _HeadResponse(
+        result = _ManifestResponse(
             self.synchronized.is_set(), member_count, self._newest_manifest()
         )
-        return msgspec.msgpack.encode(head)
+        return msgspec.msgpack.encode(result)
--- a/marigoldchute/distribution/keys.py
+++ b/marigoldchute/distribution/keys.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-HEAD_KEY = "head"
+NEWEST_MANIFEST_KEY = "head"
 BUNDLE_PREFIX = "bundles/"
 CHUNK_PREFIX = "chunks/"
 
--- a/marigoldchute/distribution/holders.py
+++ b/marigoldchute/distribution/peer_versions.py
@@ -40,7 +40,7 @@
         self._versions: dict[str, int] = {}
         in_force.add_swap_listener(lambda bundle: self._notify_all())
         overlay.neighbour_listeners.append(self._notify)
-        handlers.register(Method.ANNOUNCE_VERSION, self._handle_have_version)
+        handlers.register(Method.ANNOUNCE_VERSION, self._handle_announce_version)
 
     def links_with_version(self, version: int) -> list[Link]:
         """Return the links to peers that have reported at least this version."""
@@ -67,7 +67,7 @@
         except PeerError:
             return  # The peer is notified again when the link is re-established.
 
-    async def _handle_have_version(self, link: Link, body: bytes) -> bytes:
+    async def _handle_announce_version(self, link: Link, body: bytes) -> bytes:
         self._versions[link.peer.name] = _VERSION.decode(body)
         self._on_change()
         return b""
--- a/marigoldchute/distribution/rollout.py
+++ b/marigoldchute/distribution/rollout.py
@@ -74,7 +74,8 @@
         Raises
         ------
         BundleError
-            The bundle is not valid or its version already exists.
+            The bundle is not valid, its version already exists, or this node does not
+            have its predecessor.
         MoveError
             A move is not valid, or the bundle conflicts with an earlier move.
         PlatformError
@@ -120,10 +121,10 @@
         return is_current and replicator.newest_version == version - 1
 
     async def _check_predecessor_stored(self, newest: Manifest) -> None:
-        """Check that the store still contains the predecessor of the new version.
+        """Check that the store contains the same predecessor as this node.
 
-        Otherwise this node is so far behind that the predecessor has been pruned, and
-        the key of the new version may also be free again.
+        If the store has none, this node is so far behind that the predecessor has been
+        pruned, and the key of the new version may also be free again.
         """
         try:
             stored = await self._store.get(bundle_key(newest.version))
--- a/marigoldchute/distribution/service.py
+++ b/marigoldchute/distribution/service.py
@@ -13,9 +13,9 @@
 from marigoldchute.distribution.audit import audit_fields
 from marigoldchute.distribution.chunks import ChunkCache, ChunkServer
 from marigoldchute.distribution.fetch import ChunkFetcher
-from marigoldchute.distribution.holders import PeerVersions
-from marigoldchute.distribution.joining import InitialSync
-from marigoldchute.distribution.keys import HEAD_KEY
+from marigoldchute.distribution.initial_sync import InitialSync
+from marigoldchute.distribution.keys import NEWEST_MANIFEST_KEY
+from marigoldchute.distribution.peer_versions import PeerVersions
 from marigoldchute.distribution.reader import StoreReader
 from marigoldchute.distribution.transfer import RankedPolicy, StoreOnlyPolicy
 from marigoldchute.errors import BundleError, MarigoldchuteError
@@ -156,7 +156,7 @@
         self._signal_change()
 
     def _newest_manifest_body(self) -> bytes:
-        record = self._table.get(RecordKind.BUNDLE, HEAD_KEY)
+        record = self._table.get(RecordKind.BUNDLE, NEWEST_MANIFEST_KEY)
         return record.body if record is not None else b""
 
     def _receive_manifest(self, body: bytes) -> None:
@@ -165,7 +165,7 @@
         except BundleError as exc:
             self._log_refusal(exc, 0, body)
             return
-        record = Record(RecordKind.BUNDLE, HEAD_KEY, (version, 0), body)
+        record = Record(RecordKind.BUNDLE, NEWEST_MANIFEST_KEY, (version, 0), body)
         if not self._is_direct:
             self._table.apply(record)
         elif self._is_valid_record(record):
@@ -178,8 +178,11 @@
         except BundleError as exc:
             self._log_refusal(exc, record.rank[0], record.body)
             return False
-        is_head = record.key == HEAD_KEY and record.rank == (manifest.version, 0)
-        return is_head and manifest.version > self.newest_version
+        is_consistent = record.key == NEWEST_MANIFEST_KEY and record.rank == (
+            manifest.version,
+            0,
+        )
+        return is_consistent and manifest.version > self.newest_version
 
     def _apply_record(self, record: Record) -> None:
         self._newest = decode_manifest(record.body)
--- a/marigoldchute/distribution/transfer.py
+++ b/marigoldchute/distribution/transfer.py
@@ -19,7 +19,7 @@
 
 RANK_DELAY_S = 0.5
 STORE_DELAY_S = 0.5
-MAX_RANK = 4
+MAX_RANK = 4  # Members of a higher rank wait no longer than this one.
 
 
 class TransferPolicy(Protocol):
--- a/tests/support/rolls.py
+++ b/tests/support/rolls.py
@@ -1,4 +1,4 @@
-"""Test case with a mesh to which the test signs and rolls bundles."""
+"""Test case with a mesh, and helpers that sign and roll bundles."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 class RollTestCase(MeshTestCase):
     """Rolls bundles over the administration API and waits for their versions."""
 
-    def signed_order(
-        self, version: int, bundle: BundleContent, author: str = "ana"
+    def signed_request(
+        self, version: int, content: BundleContent, author: str = "ana"
     ) -> RollRequest:
-        chunks = split_content(bundle)
+        chunks = split_content(content)
         digests = [chunk_digest(chunk) for chunk in chunks]
         manifest = sign_manifest(
             version, digests, "ops-1", self.mesh.private_key, author, f"{author}-t"
@@ -39,15 +39,15 @@
         return RollRequest(encode_manifest(manifest), tuple(chunks))
 
     async def roll_content(
-        self, vm_name: str, version: int, bundle: BundleContent
+        self, vm_name: str, version: int, content: BundleContent
     ) -> None:
-        await self.mesh.admin(vm_name).roll(self.signed_order(version, bundle))
+        await self.mesh.admin(vm_name).roll(self.signed_request(version, content))
 
     async def roll_result(
-        self, vm_name: str, order: RollRequest
+        self, vm_name: str, request: RollRequest
     ) -> tuple[ResultCode, str]:
         try:
-            await self.mesh.admin(vm_name).roll(order)
+            await self.mesh.admin(vm_name).roll(request)
         except MarigoldchuteError as exc:
             return exc.code, exc.message
         return ResultCode.OK, ""
--- a/tests/test_distribution/test_chain.py
+++ b/tests/test_distribution/test_chain.py
@@ -31,7 +31,7 @@
 PRIVATE_KEY = generate_private_key()
 
 
-def _skip_preflight(bundle: BundleContent) -> None:
+def _skip_preflight(content: BundleContent) -> None:
     """Accept every move; the preflight check has its own tests."""
 
 
@@ -60,9 +60,9 @@
         self.newest_manifest = manifest
         self.in_force.swap(Bundle(manifest, self._content))
 
-    def roll(self, version: int, bundle: BundleContent) -> ResultCode:
-        self._content = bundle
-        chunks = split_content(bundle)
+    def roll(self, version: int, content: BundleContent) -> ResultCode:
+        self._content = content
+        chunks = split_content(content)
         digests = [chunk_digest(chunk) for chunk in chunks]
         manifest = sign_manifest(
             version, digests, "ops-1", PRIVATE_KEY, "ana", f"t{version}"
@@ -75,10 +75,10 @@
         return ResultCode.OK
 
 
-def _bundle(version: int) -> BundleContent:
-    bundle = make_content()
+def _content(version: int) -> BundleContent:
+    content = make_content()
     route = Route("extra", f"/v{version}", "turnos")
-    return dataclasses.replace(bundle, routes=(*bundle.routes, route))
+    return dataclasses.replace(content, routes=(*content.routes, route))
 
 
 class VersionChainTest(unittest.TestCase):
@@ -87,7 +87,7 @@
         node, stale_node = _RollNode(store), _RollNode(store)
         newest = MAX_STORED_VERSIONS + 3
         for version in range(1, newest + 1):
-            self.assertEqual(node.roll(version, _bundle(version)), ResultCode.OK)
+            self.assertEqual(node.roll(version, _content(version)), ResultCode.OK)
             if version == 1:
                 assert node.newest_manifest is not None
                 stale_node.publish(node.newest_manifest, {})
@@ -95,7 +95,7 @@
         self.assertEqual(
             kept, list(range(newest - MAX_STORED_VERSIONS + 1, newest + 1))
         )
-        code = stale_node.roll(2, _bundle(2))
+        code = stale_node.roll(2, _content(2))
         self.assertEqual(code, ResultCode.BUNDLE_PREDECESSOR_UNKNOWN)
         self.assertNotIn(bundle_key(2), store.objects)
 
@@ -109,7 +109,7 @@
 
     def test_roll_is_refused_unless_the_node_has_the_direct_predecessor(self) -> None:
         node = _RollNode(FakeStore())
-        self.assertEqual(node.roll(1, _bundle(1)), ResultCode.OK)
-        self.assertEqual(node.roll(1, _bundle(1)), ResultCode.BUNDLE_VERSION_TAKEN)
-        code = node.roll(3, _bundle(3))
+        self.assertEqual(node.roll(1, _content(1)), ResultCode.OK)
+        self.assertEqual(node.roll(1, _content(1)), ResultCode.BUNDLE_VERSION_TAKEN)
+        code = node.roll(3, _content(3))
         self.assertEqual(code, ResultCode.BUNDLE_PREDECESSOR_UNKNOWN)
--- a/tests/test_distribution/test_fetch.py
+++ b/tests/test_distribution/test_fetch.py
@@ -61,13 +61,13 @@
         await trio.sleep(0.01)
         if self.behaviour == "altered":
             return chunk[:-1] + b"!"
-        if self.behaviour == "cut":
+        if self.behaviour == "truncated":
             return chunk[: len(chunk) // 2]
         if self.behaviour == "busy":
             raise PeerError("busy", ResultCode.PEER_BUSY)
-        if self.behaviour == "silent":
+        if self.behaviour == "unresponsive":
             await trio.sleep(timeout_s)
-            raise PeerError("silent", ResultCode.PEER_TIMEOUT)
+            raise PeerError("unresponsive", ResultCode.PEER_TIMEOUT)
         return chunk
 
 
@@ -126,7 +126,7 @@
         return trio.run(run, clock=clock), cache, log
 
     def test_next_peer_is_used_after_a_failed_or_invalid_response(self) -> None:
-        for behaviour in ("altered", "cut", "busy", "silent"):
+        for behaviour in ("altered", "truncated", "busy", "unresponsive"):
             with self.subTest(behaviour=behaviour):
                 peers = [_FakeLink(behaviour), _FakeLink("good")]
                 complete, cache, _ = self.fetch(peers, _FakeStore("missing"), 0.0)
@@ -167,7 +167,7 @@
 
     @settings(derandomize=True, max_examples=60, deadline=None)
     @given(
-        st.lists(st.sampled_from(["good", "altered", "cut", "busy"]), max_size=4),
+        st.lists(st.sampled_from(["good", "altered", "truncated", "busy"]), max_size=4),
         st.sampled_from(["good", "altered", "missing"]),
     )
     def test_only_chunks_that_match_their_digest_are_cached(
--- a/tests/test_distribution/test_replicator.py
+++ b/tests/test_distribution/test_replicator.py
@@ -23,7 +23,7 @@
     sign_manifest,
 )
 from marigoldchute.config import TrustedKey
-from marigoldchute.distribution.keys import HEAD_KEY, chunk_key
+from marigoldchute.distribution.keys import NEWEST_MANIFEST_KEY, chunk_key
 from marigoldchute.distribution.service import Replicator
 from marigoldchute.errors import NotFoundError, PlatformError
 from marigoldchute.events import MemoryEventLog
@@ -100,8 +100,8 @@
         )
 
     def offer(self, version: int, kind: str) -> None:
-        bundle = _content(version, kind)
-        chunks = split_content(bundle)
+        content = _content(version, kind)
+        chunks = split_content(content)
         digests = [chunk_digest(chunk) for chunk in chunks]
         key = generate_private_key() if kind == "forged" else PRIVATE_KEY
         manifest = sign_manifest(version, digests, "ops-1", key, "ana", f"t{version}")
@@ -113,14 +113,14 @@
             self.store.chunks[chunk_key(digest)] = chunk
         rank = (manifest.version, 0)
         body = encode_manifest(manifest)
-        self.table.apply(Record(RecordKind.BUNDLE, HEAD_KEY, rank, body))
+        self.table.apply(Record(RecordKind.BUNDLE, NEWEST_MANIFEST_KEY, rank, body))
 
 
 def _content(version: int, kind: str) -> BundleContent:
-    bundle = make_content("r1")
+    content = make_content("r1")
     service = "lost" if kind == "invalid" else "turnos"
     extra = Route(f"v{version}", f"/v{version}", service)
-    return dataclasses.replace(bundle, routes=(*bundle.routes, extra))
+    return dataclasses.replace(content, routes=(*content.routes, extra))
 
 
 class ReplicatorTest(unittest.TestCase):
--- a/tests/test_distribution/test_rollout.py
+++ b/tests/test_distribution/test_rollout.py
@@ -36,8 +36,8 @@
         results: dict[str, tuple[ResultCode, str]] = {}
 
         async def roll(author: str) -> None:
-            order = self.signed_order(1, make_content("r1"), author)
-            results[author] = await self.roll_result(nodes[author], order)
+            request = self.signed_request(1, make_content("r1"), author)
+            results[author] = await self.roll_result(nodes[author], request)
 
         async with trio.open_nursery() as nursery:
             for author in nodes:
@@ -59,7 +59,7 @@
         await self.wait_for_version(3)
 
     async def _roll_invalid_bundles(self) -> None:
-        valid = self.signed_order(4, make_content("r1"))
+        valid = self.signed_request(4, make_content("r1"))
         unsigned = self._encode_altered_manifest(signature=b"")
         wrong_key = sign_manifest(
             4,
@@ -82,18 +82,18 @@
                 ResultCode.BUNDLE_SIGNATURE_INVALID
             ),
             RollRequest(valid.manifest, truncated): ResultCode.BUNDLE_CHUNK_MISSING,
-            self.signed_order(
+            self.signed_request(
                 2, make_content("r1"), "replay"
             ): ResultCode.BUNDLE_VERSION_TAKEN,
-            self.signed_order(
+            self.signed_request(
                 7, make_content("r1")
             ): ResultCode.BUNDLE_PREDECESSOR_UNKNOWN,
-            self.signed_order(
+            self.signed_request(
                 4, make_content("r2")
             ): ResultCode.MOVE_OUTCOME_CONTRADICTED,
         }
-        for order, expected in cases.items():
-            code, message = await self.roll_result("limon-muelle-1", order)
+        for request, expected in cases.items():
+            code, message = await self.roll_result("limon-muelle-1", request)
             self.assertEqual(code, expected, message)
 
     def _encode_altered_manifest(self, **changes: object) -> bytes:
@@ -106,14 +106,14 @@
         with_move = make_content("r1", make_move(start_ms=0, deadline_ms=10**13))
         await self.roll_content("cartago-norte-1", 4, with_move)
         await self.wait_for_version(4)
-        for bundle in (make_content("r1"), make_content("r2")):
+        for content in (make_content("r1"), make_content("r2")):
             code, _ = await self.roll_result(
-                "limon-muelle-1", self.signed_order(5, bundle)
+                "limon-muelle-1", self.signed_request(5, content)
             )
             self.assertEqual(code, ResultCode.MOVE_UNDECIDED_CHANGED)
         await self.mesh.admin("limon-muelle-1").cancel("turnos-r2", "ana")
         code, _ = await self.roll_result(
-            "limon-muelle-1", self.signed_order(5, make_content("r2"))
+            "limon-muelle-1", self.signed_request(5, make_content("r2"))
         )
         self.assertEqual(code, ResultCode.MOVE_OUTCOME_CONTRADICTED)
         await self.roll_content("limon-muelle-1", 5, make_content("r1"))
--- a/tests/test_distribution/test_store_faults.py
+++ b/tests/test_distribution/test_store_faults.py
@@ -42,7 +42,7 @@
         self.mesh.start_node("limon-muelle-2")
         await self.wait_for_node_version("limon-muelle-2", 1)
         code, _ = await self.roll_result(
-            "cartago-norte-1", self.signed_order(2, SECOND_CONTENT)
+            "cartago-norte-1", self.signed_request(2, SECOND_CONTENT)
         )
         self.assertIn(
             code, (ResultCode.STORE_UNAVAILABLE, ResultCode.STORE_CIRCUIT_OPEN)
@@ -63,7 +63,7 @@
         for name in ("cartago-norte-1", "limon-muelle-1"):
             self.assertNotIn(1, self.versions_in_force(name)[2:])
         code, _ = await self.roll_result(
-            "cartago-norte-2", self.signed_order(3, FIRST_CONTENT)
+            "cartago-norte-2", self.signed_request(3, FIRST_CONTENT)
         )
         self.assertEqual(code, ResultCode.BUNDLE_PREDECESSOR_UNKNOWN)
         await self.mesh.set_store_faults(StoreFaults())
@@ -71,11 +71,11 @@
         await self.wait_for_version(3)
 
     async def _roll_until_accepted(self, version: int) -> None:
-        bundle = SECOND_CONTENT if version % 2 == 0 else FIRST_CONTENT
+        content = SECOND_CONTENT if version % 2 == 0 else FIRST_CONTENT
         with trio.fail_after(WAIT_TIMEOUT_S):
             while True:
                 code, _ = await self.roll_result(
-                    "cartago-norte-2", self.signed_order(version, bundle)
+                    "cartago-norte-2", self.signed_request(version, content)
                 )
                 if code in (ResultCode.OK, ResultCode.BUNDLE_VERSION_TAKEN):
                     return
@@ -108,7 +108,7 @@
         await self._restart_on_altered_reads()
 
     async def _write_forged_manifests(self) -> None:
-        body = self.signed_order(1, FIRST_CONTENT).manifest
+        body = self.signed_request(1, FIRST_CONTENT).manifest
         valid = decode_manifest(body)
         key = generate_private_key()
         forged = [
