--- a/marigoldchute/events.py
+++ b/marigoldchute/events.py
@@ -9,7 +9,7 @@
 
 import eliot
 
-from marigoldchute.util.lineout import LineWriter
+from marigoldchute.util.line_writer import LineWriter
 
 COUNTER_BITS = 20
 
--- a/tests/test_util/test_lineout.py
+++ b/tests/test_util/test_line_writer.py
@@ -5,7 +5,7 @@
 import os
 import unittest
 
-from marigoldchute.util.lineout import LineWriter
+from marigoldchute.util.line_writer import LineWriter
 
 
 class NonBlockingOutputTest(unittest.TestCase):
