--- a/marigoldchute/admin/app.py
+++ b/marigoldchute/admin/app.py
@@ -28,7 +28,7 @@
 
 MAX_ROLL_REQUEST_BYTES = 64_000_000
 MAX_AUTHOR_BYTES = 256
-JSON = "application/json"
+JSON_CONTENT_TYPE = "application/json"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -52,7 +52,7 @@
     """Encoded body of a response and its content type."""
 
     body: bytes
-    content_type: str = JSON
+    content_type: str = JSON_CONTENT_TYPE
 
 
 @dataclasses.dataclass(frozen=True)
--- a/marigoldchute/admin/messages.py
+++ b/marigoldchute/admin/messages.py
@@ -97,13 +97,13 @@
     move_id, service : str
         Id of the move, and the service that it concerns.
     verdict : str
-        ``done``, ``taken back``, ``taking back``, ``under way`` or
-        ``not known``.
+        ``done``, ``taken back``, ``taking back`` or ``under way``. ``taking back``
+        means that the verdict is ``taken back`` and not all members have confirmed it.
     reason : str
         Reason of the verdict or the fault; empty when there is neither.
     confirmed, unconfirmed : int
-        Number of members that have and have not confirmed the share that the verdict
-        requires.
+        Number of members that have and have not confirmed the final share: 0 after the
+        verdict ``taken back``, otherwise 1.
     lowest_share, highest_share : float
         Range of the shares in force on the members that have reported.
     deadline_ms : int
--- a/marigoldchute/admin/metrics.py
+++ b/marigoldchute/admin/metrics.py
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    store_call_counts : int
+    store_calls : int
         Calls to the platform's object API.
     latencies : tuple of RouteLatency
         Latency added to requests, by route and outcome.
--- a/marigoldchute/cmd/_bundle_commands.py
+++ b/marigoldchute/cmd/_bundle_commands.py
@@ -201,8 +201,8 @@
             )
             if self.version < 1:
                 raise MarigoldchuteError("--as-version must be at least 1")
-            roll_order = sign_content(content, self.version, key, getpass.getuser())
-            write_output(roll_order, self.out)
+            roll_request = sign_content(content, self.version, key, getpass.getuser())
+            write_output(roll_request, self.out)
         except MarigoldchuteError as exc:
             return report_error(exc)
         return 0
--- a/marigoldchute/cmd/_mesh_commands.py
+++ b/marigoldchute/cmd/_mesh_commands.py
@@ -67,15 +67,15 @@
         client = self.connection.client()
         if is_signed_bundle(value):
             self._reject_complete_within_ms()
-            roll_order = parse_signed_bundle(value, self.bundle)
+            roll_request = parse_signed_bundle(value, self.bundle)
         else:
             key = load_key(self.key)
             content = parse_bundle_content(
                 value, self.bundle, wall_clock_ms(), self.complete_within_ms
             )
             version = (await client.status()).newest_version + 1
-            roll_order = sign_content(content, version, key, getpass.getuser())
-        result = await client.roll(roll_order)
+            roll_request = sign_content(content, version, key, getpass.getuser())
+        result = await client.roll(roll_request)
         if self.connection.as_json:
             print_json(result)
         else:
@@ -144,7 +144,7 @@
     """Show the verdict of a move.
 
     The exit status is 0 if the move is done or, without --wait, still under way. It is
-    6 if the move was taken back or is unknown.
+    6 if the move is taken back, is being taken back or is unknown.
     """
 
     move: MoveIdArg
--- a/marigoldchute/cmd/_program.py
+++ b/marigoldchute/cmd/_program.py
@@ -20,7 +20,7 @@
 
 
 def run_program(command: type) -> NoReturn:
-    """Run the command in the command line of this process and exit."""
+    """Run the command line of this process and exit with its status."""
     sys.exit(run_command_line(command))
 
 
--- a/marigoldchute/cmd/ctl.py
+++ b/marigoldchute/cmd/ctl.py
@@ -33,7 +33,7 @@
 
 The exit status is 0, or the class of the result code: 1 input, 2 bundle, 3 store,
 4 node unreachable, 5 request, 6 move taken back or unknown, 7 token or key rejected.
-Completion: marigoldchute-ctl --completion generate
+Shell completion: marigoldchute-ctl --completion generate
 """
 
 
--- a/marigoldchute/cmd/demo.py
+++ b/marigoldchute/cmd/demo.py
@@ -114,9 +114,7 @@
         self._start_processes()
         await self._wait_for_members()
         origins = [f"{vm.address}:{CALLER_PORT}" for vm in self._vms]
-        callers = Callers(
-            origins, ["/turnos/1", "/reservas/1"], CALLS_PER_S, self._seed
-        )
+        callers = Callers(origins, CALLED_PATHS, CALLS_PER_S, self._seed)
         async with trio.open_nursery() as nursery:
             verdicts = await self._run_moves(nursery, callers)
             nursery.cancel_scope.cancel()
--- a/marigoldchute/cmd/node.py
+++ b/marigoldchute/cmd/node.py
@@ -76,7 +76,7 @@
 
 
 def check_ports_free(cfg: NodeSettings) -> None:
-    """Check that the node can listen on its ports, so that it fails before it starts.
+    """Check that the node can listen on its ports, to report errors at the start.
 
     Raises
     ------
--- a/marigoldchute/cmd/timeline.py
+++ b/marigoldchute/cmd/timeline.py
@@ -73,10 +73,14 @@
     move: Annotated[str, _option("--move", "ID", "Only events of this move.")] = ""
     version: Annotated[
         int | None,
-        cappa.Arg(long="--bundle", value_name="N", help="Only events of this version."),
+        cappa.Arg(
+            long="--bundle", value_name="N", help="Only events of this bundle version."
+        ),
     ] = None
     vm: Annotated[str, _option("--vm", "NAME", "Only events by or about this VM.")] = ""
-    part: Annotated[str, _option("--part", "NAME", "Only this part, e.g. moves.")] = ""
+    part: Annotated[
+        str, _option("--part", "NAME", "Only events of this component, e.g. moves.")
+    ] = ""
     event: Annotated[
         str, _option("--event", "NAME", "Only this event, e.g. verdict.")
     ] = ""
--- a/marigoldchute/node.py
+++ b/marigoldchute/node.py
@@ -1,4 +1,4 @@
-"""Node process that combines the components of the mesh."""
+"""Node process: creates and runs the components of one mesh member."""
 
 from __future__ import annotations
 
