--- a/marigoldchute/objectstore/api.py
+++ b/marigoldchute/objectstore/api.py
@@ -41,7 +41,7 @@
 
 
 class ObjectStore(Protocol):
-    """Object API with versions, conditional updates and watches."""
+    """Object API with revisions, conditional writes and watches."""
 
     async def get(self, key: str) -> StoredObject:
         """Return one object or raise ``NotFoundError``."""
--- a/marigoldchute/objectstore/caller.py
+++ b/marigoldchute/objectstore/caller.py
@@ -49,7 +49,8 @@
 
     Each call has a deadline and uses one token of the node's call budget. Calls that
     are known not to have run, and all reads, are retried with full jitter until the
-    deadline; a write with an unknown outcome is left to the caller.
+    deadline. A write with an unknown outcome is not retried, because it may have run;
+    the code that made the call resolves it.
 
     Parameters
     ----------
--- a/marigoldchute/objectstore/documents.py
+++ b/marigoldchute/objectstore/documents.py
@@ -49,7 +49,7 @@
 
 
 class DocumentStore(Protocol):
-    """Documents with versions, conditional updates and watches."""
+    """Documents with revisions, conditional writes and watches."""
 
     @property
     def is_reachable(self) -> bool:
--- a/marigoldchute/objectstore/messages.py
+++ b/marigoldchute/objectstore/messages.py
@@ -19,7 +19,7 @@
 from marigoldchute.objectstore.api import StoredObject, WatchEvent
 
 _T = TypeVar("_T")
-_REFUSED_BEFORE_RUNNING = (429, 503)
+_NOT_RUN_STATUSES = (429, 503)
 
 
 class Item(msgspec.Struct, frozen=True):
@@ -75,7 +75,7 @@
 
 
 def raise_for_status(method: str, path: str, status: int, content: bytes) -> None:
-    """Raise the error that an HTTP status stands for."""
+    """Raise the error for an HTTP status of 300 or higher."""
     if status < 300:
         return
     detail = content.decode(errors="replace")[:200]
@@ -90,8 +90,10 @@
     if status == 413:
         raise PlatformError(f"{path}: {detail}", ResultCode.STORE_VALUE_TOO_LARGE)
     if status == 429:
-        raise PlatformError("store refused the call", ResultCode.STORE_THROTTLED)
-    if method != "GET" and status not in _REFUSED_BEFORE_RUNNING:
+        raise PlatformError(
+            "call exceeds the rate limit of the store", ResultCode.STORE_THROTTLED
+        )
+    if method != "GET" and status not in _NOT_RUN_STATUSES:
         raise UnknownOutcomeError(f"store returned {status} to a write: {detail}")
     raise PlatformError(f"store returned {status}: {detail}")
 
--- a/marigoldchute/standins/faultproxy.py
+++ b/marigoldchute/standins/faultproxy.py
@@ -114,7 +114,7 @@
     ----------
     forwards : tuple of Forward
         Listening addresses.
-    sources : tuple of End
+    sources : tuple of Endpoint
         Endpoints that are recognised as senders by their address.
     control_address : str
         IP address of the control interface.
@@ -158,7 +158,9 @@
         self._rules_changed = trio.Event()
         self._connections: set[_ForwardedConnection] = set()
         self._byte_totals: dict[tuple[str, str], int] = {}
-        self._endpoints_by_address = {end.address: end for end in plan.sources}
+        self._endpoints_by_address = {
+            endpoint.address: endpoint for endpoint in plan.sources
+        }
 
     def set_rules(self, rules: tuple[Rule, ...]) -> None:
         """Replace the rules; ``SILENCE`` and ``RESET`` apply to open connections."""
@@ -176,7 +178,7 @@
 
     def byte_counts(self) -> list[ByteCount]:
         """Return the bytes forwarded for each ordered pair of endpoints."""
-        regions = {end.name: end.region for end in self._plan.sources}
+        regions = {endpoint.name: endpoint.region for endpoint in self._plan.sources}
         regions |= {f.end.name: f.end.region for f in self._plan.forwards}
         return [
             ByteCount(
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -58,7 +58,7 @@
 
 
 async def read_all(stream: trio.SocketStream) -> bytes:
-    """Read to the end.
+    """Read until the peer closes the connection.
 
     Raises
     ------
--- a/tests/test_objectstore/test_watch.py
+++ b/tests/test_objectstore/test_watch.py
@@ -64,6 +64,7 @@
         return Items(changed, len(visible_log))
 
     def apply(self, action: str, rng: random.Random) -> None:
+        """Apply an action; reads return a stale state from ``past`` to ``present``."""
         if action in ("write", "delete"):
             value = "dg==" if action == "write" else None
             key = f"k/{rng.randrange(4)}"
