--- a/bench/bench_distribution.py
+++ b/bench/bench_distribution.py
@@ -79,8 +79,8 @@
     mode : str
         ``relayed`` or ``direct``.
     p50_ms, p99_ms, max_ms : float
-        Time from sending the signed roll order until the version is in force on a node,
-        over all nodes and changes.
+        Time from sending the signed roll request until the version is in force on a
+        node, over all nodes and changes.
     last_node_ms : float
         Median over the changes of the time until the last node has it in force.
     node_bytes_per_change : float
@@ -166,11 +166,11 @@
         manifest = sign_manifest(
             version, digests, "ops-1", self.mesh.private_key, "bench", f"t{version}"
         )
-        order = RollRequest(encode_manifest(manifest), tuple(chunks))
+        request = RollRequest(encode_manifest(manifest), tuple(chunks))
         vms = self.mesh.plan.vms
         node = vms[version % len(vms)].name
         self.sent_at_ms[version] = time.time_ns() // 1_000_000
-        await self.mesh.admin(node).roll(order)
+        await self.mesh.admin(node).roll(request)
         with trio.fail_after(60):
             while len(self._in_force_delays_ms(version)) < len(vms):
                 await trio.sleep(0.25)
--- a/bench/bench_move_bytes.py
+++ b/bench/bench_move_bytes.py
@@ -60,7 +60,7 @@
         + (_message_bytes(report(latencies)) - _message_bytes(report({})))
         / REPORTS_PER_LATENCY_REPORT
     )
-    guidance_bytes = _message_bytes(
+    response_bytes = _message_bytes(
         [CollectorResponse("turnos-r2", 2, 10**6, 99.5, p95_ms={0: 9.5, 1: 9.5})]
     )
     streams = tuple(
@@ -72,18 +72,18 @@
     summary_bytes = _message_bytes(
         [MoveSummary("turnos-r2", 10**6, 99.5, False, streams, {0: 9.5})]
     )
-    stand_bytes = _message_bytes([ConfirmationDigest("turnos-r2", 2**63, 2**63, 124)])
+    digest_bytes = _message_bytes([ConfirmationDigest("turnos-r2", 2**63, 2**63, 124)])
     nodes_per_data_centre = NODE_COUNT / DATA_CENTRE_COUNT
     report_interval_s = max(
         REPORT_INTERVAL_S, nodes_per_data_centre / MAX_REPORTS_PER_S
     )
     exchange_interval_s = DATA_CENTRE_COUNT * EXCHANGE_PER_DATA_CENTRE_S
-    member_bytes_per_s = (mean_report_bytes + guidance_bytes) / report_interval_s
+    member_bytes_per_s = (mean_report_bytes + response_bytes) / report_interval_s
     result = {
         "report_bytes": round(mean_report_bytes),
-        "guidance_bytes": guidance_bytes,
+        "guidance_bytes": response_bytes,
         "summary_bytes": summary_bytes,
-        "stand_bytes": stand_bytes,
+        "stand_bytes": digest_bytes,
         "report_interval_s": round(report_interval_s, 2),
         "member_bytes_per_s": round(member_bytes_per_s),
         "collector_bytes_per_s": round(
@@ -92,10 +92,12 @@
             * (DATA_CENTRE_COUNT - 1)
             * (summary_bytes + CALL_OVERHEAD_BYTES)
             / exchange_interval_s
-            + DRIVER_CALLS_PER_S * (stand_bytes + CALL_OVERHEAD_BYTES)
+            + DRIVER_CALLS_PER_S * (digest_bytes + CALL_OVERHEAD_BYTES)
         ),
         "driver_bytes_per_s": round(
-            DRIVER_CALLS_PER_S * DATA_CENTRE_COUNT * (stand_bytes + CALL_OVERHEAD_BYTES)
+            DRIVER_CALLS_PER_S
+            * DATA_CENTRE_COUNT
+            * (digest_bytes + CALL_OVERHEAD_BYTES)
         ),
     }
     print(json.dumps(result))
--- a/bench/bench_path.py
+++ b/bench/bench_path.py
@@ -131,7 +131,7 @@
             [
                 sys.executable,
                 "-m",
-                "bench.baseline_edge",
+                "bench.baseline_proxy",
                 address,
                 str(BASELINE_PORT),
                 f"http://{address}:{BACKEND_PORT}",
--- a/bench/bench_scale.py
+++ b/bench/bench_scale.py
@@ -46,7 +46,8 @@
         CPU time to compute the wanted peers and the holder of a duty after a change, in
         milliseconds.
     kept_duty_ms, kept_wanted_ms : float
-        CPU time to look up the same while nothing has changed, in milliseconds.
+        CPU time to look up the holder of a duty and the wanted peers while nothing has
+        changed, in milliseconds.
     links : int
         Number of links that this node opens.
     member_record_bytes : int
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Development tools: test runner and its plugins."""
+"""Development tools: test runner, its nose2 plugin and runner of the proofs."""
--- a/tools/proofs.py
+++ b/tools/proofs.py
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Guarantee:
-    """A row of the page's first table.
+    """A row of the first table in docs/PROOFS.md.
 
     Parameters
     ----------
