--- a/marigoldchute/membership/contact.py
+++ b/marigoldchute/membership/contact.py
@@ -13,9 +13,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
+# Multiples of ``fence_after_s``.
 GONE_AFTER_FACTOR = 1.5
 MAX_CONTACT_AGE_FACTOR = 0.6
-GONE_MARKER_WAIT_FACTOR = 1.1
+GONE_MARKER_WAIT_FACTOR = 1.1  # Above 1 because clock rates differ.
+
 AGE_UNIT_S = 0.25
 MAX_AGE_UNITS = 255  # The largest value of a byte, which also means "no contact".
 NEVER = -math.inf
@@ -98,7 +100,8 @@
     time at which the report was requested, so a delayed response does not make a
     contact look recent. A member serves while it is in contact, directly or through
     others, with a majority of any data centre's voters, or while it reads in the store
-    that it has not been declared gone.
+    that it is not marked as gone. Voters are the members of a data centre that count
+    for its majority.
 
     Parameters
     ----------
@@ -223,7 +226,8 @@
 
     def _update_majority_contact(self, now: float) -> None:
         contact_times = [
-            now if v == self._name else self.last_contact_at(v) for v in self._voters
+            now if voter == self._name else self.last_contact_at(voter)
+            for voter in self._voters
         ]
         contact_times.sort(reverse=True)
         majority_at = contact_times[len(contact_times) // 2]
@@ -238,8 +242,8 @@
             for name in sorted_names
         )
         majority_ages = [
-            DataCentreContactAge(c, _encode_age(now - at))
-            for c, at in self._majority_contact_at.items()
+            DataCentreContactAge(data_centre, _encode_age(now - contact_at))
+            for data_centre, contact_at in self._majority_contact_at.items()
         ]
         digest = digest_names(sorted_names)
         return ContactReport(
@@ -298,7 +302,10 @@
         if now - last_at <= gone_after_s:
             return False
         max_age_s = self._timeouts.max_contact_age_s
-        return all(now - self.majority_contact_at(c) <= max_age_s for c in data_centres)
+        return all(
+            now - self.majority_contact_at(data_centre) <= max_age_s
+            for data_centre in data_centres
+        )
 
 
 def _encode_age(seconds: float) -> int:
--- a/marigoldchute/membership/exchange.py
+++ b/marigoldchute/membership/exchange.py
@@ -22,7 +22,7 @@
     from marigoldchute.overlay.overlay import Overlay
 
 GONE_KEY_PREFIX = "gone/"
-REPORT_INTERVAL_FACTOR = 0.05
+REPORT_INTERVAL_FACTOR = 0.05  # Multiple of ``fence_after_s``, as both below.
 REPORT_PEER_COUNT = 3
 REPORT_TIMEOUT_S = 2.0
 PAUSE_THRESHOLD_S = 4.0
--- a/marigoldchute/membership/losses.py
+++ b/marigoldchute/membership/lost_peers.py
@@ -1,4 +1,4 @@
-"""Peers that lost their link, until they are linked again or claimed."""
+"""Peers to which the link was lost, until they are in contact again or gone."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
     since : float
         Monotonic time at which the link was lost.
     refused_count : int
-        Number of connections that the peer's address has refused since.
+        Number of connections that the peer's address has refused since the link was
+        lost or the count was reset.
     next_probe_at : float
         Monotonic time before which the peer is not probed.
     """
--- a/marigoldchute/membership/model.py
+++ b/marigoldchute/membership/model.py
@@ -23,7 +23,8 @@
     Parameters
     ----------
     server_id : str
-        Unique per announcement lifetime, ``node/port``.
+        Unique id: ``node/port``, ``node/port/instance`` or, for a server listed by the
+        platform, ``instance@start``.
     service, release : str
         Service and release that the server provides.
     port : int
@@ -35,7 +36,8 @@
     draining : bool
         Whether the server accepts no new requests.
     warm_at_ms : int
-        Wall-clock time at which its cold start ends.
+        Wall-clock time at which its cold start ends, in milliseconds since the epoch;
+        0 without a cold start.
     instance : str
         Id that the backend server uses for itself; empty when it has none.
     """
@@ -74,7 +76,8 @@
     servers : tuple of BackendServer
         Backend servers on the VM.
     gone_at_ms : int
-        Wall-clock time at which the member was declared gone.
+        Wall-clock time at which the member was declared gone, in milliseconds since
+        the epoch; 0 before.
     store_ms : int
         Lowest latency of its calls to the store in milliseconds; 0 while unknown.
     """
--- a/marigoldchute/membership/probe.py
+++ b/marigoldchute/membership/probe.py
@@ -186,7 +186,10 @@
         return ProbeOutcome.NOT_REACHED
 
     async def _is_data_centre_reachable(self, member: Member) -> bool:
-        """Return whether another member of the data centre responds or none exists."""
+        """Return whether another member of a member's data centre can be reached.
+
+        Also true for this node's own data centre, and if there is no other member.
+        """
         others = [
             other
             for other in self._membership.recorded_members()
--- a/marigoldchute/membership/seeds.py
+++ b/marigoldchute/membership/seeds.py
@@ -103,7 +103,7 @@
         return len(self._membership.recorded_members()) > 1
 
     async def _join(self) -> None:
-        """Read the seeds until it succeeds once or a peer is linked."""
+        """Read the seeds until one read succeeds or a peer is linked."""
         delay_s = JOIN_DELAY_S
         await trio.sleep(JOIN_DELAY_S * self._rng.uniform(0.5, 1.0))
         while not self._overlay.neighbours():
--- a/marigoldchute/membership/service.py
+++ b/marigoldchute/membership/service.py
@@ -14,7 +14,7 @@
     ContactTracker,
     boottime_clock,
 )
-from marigoldchute.membership.losses import LostPeers
+from marigoldchute.membership.lost_peers import LostPeers
 from marigoldchute.membership.model import BackendServer, Member, MemberState
 from marigoldchute.overlay.duties import Duties
 from marigoldchute.overlay.records import RecordKind
@@ -144,8 +144,8 @@
         return self._data_centre_names[1]
 
     def _with_effective_state(self, member: Member) -> Member:
-        is_cut_off = member.data_centre in self._unreachable_data_centres
-        if is_cut_off and member.state in (MemberState.ALIVE, MemberState.DRAINING):
+        is_unreachable = member.data_centre in self._unreachable_data_centres
+        if is_unreachable and member.state in (MemberState.ALIVE, MemberState.DRAINING):
             return dataclasses.replace(member, state=MemberState.UNREACHABLE)
         return member
 
--- a/tests/test_membership/test_gone_safety.py
+++ b/tests/test_membership/test_gone_safety.py
@@ -83,7 +83,7 @@
         client: Any = store.client_of(local.name)
         membership: Any = self
         unused: Any = None
-        self.monitor = SilenceDetector(membership, client, lambda: clock.now)
+        self.silence_detector = SilenceDetector(membership, client, lambda: clock.now)
         self.exchange = ContactExchange(
             membership, unused, client, Handlers(), unused, random.Random(1)
         )
@@ -180,7 +180,7 @@
             for node in self.nodes.values():
                 node.contact.update(node.data_centre_member_names(), self.clock.now)
                 await node.exchange.check_store(self.clock.now)
-                await node.monitor.check(self.clock.now)
+                await node.silence_detector.check(self.clock.now)
             self._check_no_serving_member_is_gone()
 
     def _exchange_state(self, group: set[str]) -> None:
--- a/tests/test_membership/test_probe.py
+++ b/tests/test_membership/test_probe.py
@@ -1,4 +1,4 @@
-"""Probes of lost peers that are reached."""
+"""Probes of lost peers that can be reached."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import trio.testing
 
 from marigoldchute.link.handlers import Handlers
-from marigoldchute.membership.losses import LostPeers
+from marigoldchute.membership.lost_peers import LostPeers
 from marigoldchute.membership.model import Member
 from marigoldchute.membership.probe import Prober
 
