--- a/marigoldchute/moves/capacity.py
+++ b/marigoldchute/moves/capacity.py
@@ -17,7 +17,8 @@
     Parameters
     ----------
     old_slots, new_slots : int
-        Slots of the usable backend servers of each release.
+        Slots of the backend servers of each release that accept new requests and
+        are not in their cold start.
     concurrency : float
         Mean number of concurrent requests of both releases together.
     """
@@ -41,7 +42,7 @@
 def compute_capacity(
     members: Members, move: Move, concurrency: float, now_ms: int
 ) -> Capacity:
-    """Return the slots of both releases of a move on the usable members.
+    """Return the slots of both releases of a move on the members that accept requests.
 
     Parameters
     ----------
--- a/marigoldchute/moves/collector.py
+++ b/marigoldchute/moves/collector.py
@@ -7,9 +7,13 @@
 import msgspec
 
 from marigoldchute.link.methods import Method
-from marigoldchute.moves.centre import DataCentreEvidence, streams_of
+from marigoldchute.moves.data_centre_evidence import DataCentreEvidence, streams_of
 from marigoldchute.moves.evidence import log_e_value, merge_streams, worst_stream
 from marigoldchute.moves.judge import confirmation_digest
+from marigoldchute.moves.local_detector import (
+    SUSPECTED_THRESHOLD_FRACTION,
+    describe_fault,
+)
 from marigoldchute.moves.model import (
     CollectorResponse,
     MemberReport,
@@ -17,7 +21,6 @@
     Stage,
 )
 from marigoldchute.moves.sequential import log_threshold
-from marigoldchute.moves.watch import SUSPECTED_THRESHOLD_FRACTION, describe_fault
 
 if TYPE_CHECKING:
     from marigoldchute.link.handlers import Handlers
@@ -54,13 +57,13 @@
         self._reports: dict[str, MemberReport] = {}
         self._evidence: dict[str, DataCentreEvidence] = {}
         self._remote_summaries: dict[str, dict[str, MoveSummary]] = {}
-        self._guidance: dict[str, CollectorResponse] = {}
+        self._responses: dict[str, CollectorResponse] = {}
         handlers.register(Method.REPORT_EVIDENCE, self._handle_report)
-        handlers.register(Method.LIST_MEMBER_REPORTS, self._list_member_reports)
+        handlers.register(Method.LIST_MEMBER_REPORTS, self._handle_list_member_reports)
         handlers.register(
-            Method.LIST_CONFIRMATION_DIGESTS, self._list_confirmation_digests
+            Method.LIST_CONFIRMATION_DIGESTS, self._handle_list_confirmation_digests
         )
-        handlers.register(Method.LIST_SUMMARIES, self._list_summaries)
+        handlers.register(Method.LIST_SUMMARIES, self._handle_list_summaries)
 
     def apply_report(self, report: MemberReport, now_ms: int) -> None:
         """Store a report and merge its counts, unless it is stale."""
@@ -105,9 +108,9 @@
             existing = self._remote_summaries.setdefault(summary.move_id, {})
             existing[data_centre] = summary
 
-    def guidance(self) -> list[CollectorResponse]:
-        """Return the guidance for members of this data centre, by undecided move."""
-        return list(self._guidance.values())
+    def responses(self) -> list[CollectorResponse]:
+        """Return the response to a member's report, one item per undecided move."""
+        return list(self._responses.values())
 
     def merge(self, now_ms: int) -> None:
         """Close windows, test the evidence of all data centres and publish faults."""
@@ -119,7 +122,9 @@
         self._remote_summaries = {
             m: s for m, s in self._remote_summaries.items() if m in undecided_ids
         }
-        self._guidance = {m: g for m, g in self._guidance.items() if m in undecided_ids}
+        self._responses = {
+            m: response for m, response in self._responses.items() if m in undecided_ids
+        }
         for move_id, evidence in self._evidence.items():
             evidence.retain_members(names)
             self._merge_move(move_id, evidence, now_ms)
@@ -134,18 +139,21 @@
         if state.is_comparing(now_ms):
             evidence.reset_history()
         evidence.close_windows(now_ms, state.share >= 1.0)
-        parts = [evidence.summary(), *self._remote_summaries.get(move_id, {}).values()]
-        streams = merge_streams(streams_of(part) for part in parts)
+        summaries = [
+            evidence.summary(),
+            *self._remote_summaries.get(move_id, {}).values(),
+        ]
+        streams = merge_streams(streams_of(summary) for summary in summaries)
         log_e = log_e_value(streams)
         threshold = log_threshold(state.move.thresholds.false_alarm, 2)
         if log_e > threshold and state.fault is None:
             reason = describe_fault(recorder, worst_stream(streams))
             self._engine.report_fault(move_id, reason, now_ms)
         suspected = log_e > SUSPECTED_THRESHOLD_FRACTION * threshold
-        self._guidance[move_id] = self._build_guidance(move_id, parts, suspected)
+        self._responses[move_id] = self._build_response(move_id, summaries, suspected)
 
-    def _build_guidance(
-        self, move_id: str, parts: list[MoveSummary], suspected: bool
+    def _build_response(
+        self, move_id: str, summaries: list[MoveSummary], suspected: bool
     ) -> CollectorResponse:
         move_reports = [
             item
@@ -159,15 +167,15 @@
             if r.stage == Stage.ROLLING and not r.joined_late
         ]
         p95_ms: dict[int, float] = {}
-        for part in reversed(parts):
-            p95_ms |= part.p95_ms
+        for summary in reversed(summaries):
+            p95_ms |= summary.p95_ms
         return CollectorResponse(
             move_id,
             min(rolling_steps, default=-1),
-            sum(part.outcomes for part in parts),
-            sum(part.concurrency for part in parts),
+            sum(summary.outcomes for summary in summaries),
+            sum(summary.concurrency for summary in summaries),
             suspected,
-            any(part.degraded for part in parts),
+            any(summary.degraded for summary in summaries),
             sum(r.stage == Stage.CONFIRMED for r in move_reports),
             sum(r.stage == Stage.RETURNED for r in move_reports),
             p95_ms,
@@ -179,13 +187,13 @@
 
     async def _handle_report(self, link: Link, body: bytes) -> bytes:
         self.apply_report(_REPORT.decode(body), self._clock.now_ms())
-        return msgspec.msgpack.encode(self.guidance())
+        return msgspec.msgpack.encode(self.responses())
 
-    async def _list_member_reports(self, link: Link, body: bytes) -> bytes:
+    async def _handle_list_member_reports(self, link: Link, body: bytes) -> bytes:
         return msgspec.msgpack.encode(self.reports())
 
-    async def _list_confirmation_digests(self, link: Link, body: bytes) -> bytes:
+    async def _handle_list_confirmation_digests(self, link: Link, body: bytes) -> bytes:
         return msgspec.msgpack.encode(self.confirmation_digests())
 
-    async def _list_summaries(self, link: Link, body: bytes) -> bytes:
+    async def _handle_list_summaries(self, link: Link, body: bytes) -> bytes:
         return msgspec.msgpack.encode(self.summaries())
--- a/marigoldchute/moves/driver.py
+++ b/marigoldchute/moves/driver.py
@@ -148,14 +148,14 @@
         )
         if decision is None:
             return
-        verdict = self._verdict(state.move.move_id, decision, now_ms)
+        verdict = self._build_verdict(state.move.move_id, decision, now_ms)
         try:
             stored = await write_verdict(self._store, verdict)
         except PlatformError:
             return
         self._engine.publish_verdict(stored)
 
-    def _verdict(self, move_id: str, decision: Decision, now_ms: int) -> Verdict:
+    def _build_verdict(self, move_id: str, decision: Decision, now_ms: int) -> Verdict:
         return Verdict(
             move_id,
             decision.kind,
--- a/marigoldchute/moves/engine.py
+++ b/marigoldchute/moves/engine.py
@@ -8,6 +8,7 @@
 
 from marigoldchute.errors import NotRunError, ResultCode
 from marigoldchute.moves.capacity import Capacity, compute_capacity
+from marigoldchute.moves.local_detector import LocalFaultDetector
 from marigoldchute.moves.model import (
     CellReport,
     CollectorResponse,
@@ -19,7 +20,6 @@
 from marigoldchute.moves.preflight import check_moves
 from marigoldchute.moves.recorder import EvidenceRecorder
 from marigoldchute.moves.state import MoveInputs, MoveState
-from marigoldchute.moves.watch import LocalFaultDetector
 from marigoldchute.overlay.records import Record, RecordKind
 
 if TYPE_CHECKING:
@@ -33,6 +33,7 @@
     from marigoldchute.overlay.records import RecordTable
     from marigoldchute.util.clock import Clock
 
+# A driver may not know a node that started less than this before a move's start.
 JOIN_MARGIN_MS = 5000
 CAPACITY_INTERVAL_MS = 500
 SMALL_HISTOGRAM_COUNT = 400
@@ -81,7 +82,7 @@
         self._states: dict[str, MoveState] = {}
         self._by_service: dict[str, MoveState] = {}
         self._detectors: dict[str, LocalFaultDetector] = {}
-        self._guidance: dict[str, CollectorResponse] = {}
+        self._collector_responses: dict[str, CollectorResponse] = {}
         self._capacity: dict[str, tuple[int, Capacity]] = {}
         self.recorder = EvidenceRecorder()
         in_force.add_swap_listener(self._apply_bundle)
@@ -120,7 +121,7 @@
         if state is None:
             return Split(release, release, 0.0)
         move = state.move
-        if not state.is_share_known(self._guidance.get(move.move_id)):
+        if not state.is_share_known(self._collector_responses.get(move.move_id)):
             raise NotRunError(
                 f"the verdict of move {move.move_id} is not known on this node",
                 ResultCode.REQUEST_NOT_RUN_MOVE_UNDECIDED,
@@ -132,15 +133,16 @@
 
         Parameters
         ----------
-        with_latencies : bool
+        include_latencies : bool
             Whether to include latency histograms of ``SMALL_HISTOGRAM_COUNT`` or more
             latencies; smaller ones are always included.
         """
         return tuple(
-            self._report(state, include_latencies) for state in self._states.values()
+            self._build_report(state, include_latencies)
+            for state in self._states.values()
         )
 
-    def _report(self, state: MoveState, include_latencies: bool) -> MoveReport:
+    def _build_report(self, state: MoveState, include_latencies: bool) -> MoveReport:
         move_id = state.move.move_id
         recorder = self.recorder.move_recorder(move_id)
         if recorder is None or state.verdict is not None:
@@ -165,16 +167,16 @@
             state.joined_late,
         )
 
-    def apply_guidance(self, guidance: Iterable[CollectorResponse]) -> None:
-        """Store the guidance received from the collector of the data centre."""
-        for item in guidance:
-            self._guidance[item.move_id] = item
+    def apply_collector_responses(self, responses: Iterable[CollectorResponse]) -> None:
+        """Store the latest response of the data centre's collector, by move."""
+        for item in responses:
+            self._collector_responses[item.move_id] = item
             recorder = self.recorder.move_recorder(item.move_id)
             if recorder is not None:
                 recorder.collector_p95_ms = item.p95_ms
 
     def check_moves(self, content: BundleContent) -> None:
-        """Reject a bundle whose moves miss their deadline or overload a new release.
+        """Reject a bundle whose new moves would be late or overload the new release.
 
         Raises
         ------
@@ -213,7 +215,7 @@
             inputs = MoveInputs()
             if state.verdict is None:
                 self._detect_fault(state, now_ms)
-                inputs = self._inputs(state, now_ms)
+                inputs = self._build_inputs(state, now_ms)
             if state.advance(now_ms, self._clock_error_ms, inputs):
                 changed = True
                 self._log_share(state)
@@ -230,20 +232,20 @@
         if reason is not None and state.fault is None:
             self.report_fault(state.move.move_id, reason, now_ms)
 
-    def _inputs(self, state: MoveState, now_ms: int) -> MoveInputs:
+    def _build_inputs(self, state: MoveState, now_ms: int) -> MoveInputs:
         move = state.move
-        guidance = self._guidance.get(move.move_id)
+        response = self._collector_responses.get(move.move_id)
         detector = self._detectors[move.move_id]
-        totals = guidance if guidance is not None else CollectorResponse(move.move_id)
+        totals = response if response is not None else CollectorResponse(move.move_id)
         capacity = self._cached_capacity(move, totals.concurrency, now_ms)
         if not self._use_evidence:
-            return MoveInputs(capacity, guidance=guidance, schedule_only=True)
+            return MoveInputs(capacity, collector_response=response, schedule_only=True)
         return MoveInputs(
             capacity,
             max(totals.outcomes, detector.outcomes),
             totals.suspected or detector.suspected,
             totals.degraded or detector.degraded,
-            guidance,
+            response,
         )
 
     def _cached_capacity(self, move: Move, concurrency: float, now_ms: int) -> Capacity:
@@ -259,6 +261,7 @@
             return
         node = self._members.local.name
         body = msgspec.msgpack.encode(Fault(move_id, node, reason, now_ms))
+        # All faults of a move have the same rank, so a node keeps the first one.
         self._table.apply(Record(RecordKind.FAULT, move_id, (1, 0), body))
 
     def publish_verdict(self, verdict: Verdict) -> None:
--- a/marigoldchute/moves/evidence.py
+++ b/marigoldchute/moves/evidence.py
@@ -213,14 +213,14 @@
         return 0.0
     routes = [v for key, v in streams.items() if key.level == ALL_LEVELS]
     levels = [v for key, v in streams.items() if key.level != ALL_LEVELS]
-    pooled = [_product(streams, metric) for metric in Metric]
+    pooled = [_pool_routes(streams, metric) for metric in Metric]
     groups = [group for group in (pooled, routes, levels) if group]
     return log_mean_exp(
         log_mean_exp(value for values in group for value in values) for group in groups
     )
 
 
-def _product(
+def _pool_routes(
     streams: Mapping[StreamKey, tuple[float, ...]], metric: Metric
 ) -> tuple[float, ...]:
     all_level_values = [
--- a/marigoldchute/moves/model.py
+++ b/marigoldchute/moves/model.py
@@ -102,7 +102,7 @@
     step : int
         Index of the step in force, -1 before the start.
     concurrency : float
-        Mean number of concurrent requests of the member.
+        Mean number of concurrent requests of the member to the move's service.
     cells : tuple of CellReport
         Counts of the member, cumulative within its incarnation.
     latencies : dict of int to dict of int to int
@@ -187,7 +187,7 @@
     outcomes : int
         Number of outcomes of the new release so far.
     concurrency : float
-        Mean number of concurrent requests.
+        Mean number of concurrent requests to the move's service.
     degraded : bool
         Whether the new release, running alone, fails more than the old one did.
     streams : tuple of StreamReport
@@ -217,7 +217,8 @@
     outcomes : int
         Number of outcomes of the new release so far, over all reachable data centres.
     concurrency : float
-        Mean number of concurrent requests, over all reachable data centres.
+        Mean number of concurrent requests to the move's service, over all reachable
+        data centres.
     suspected : bool
         Whether evidence against the new release delays the next step and the
         confirmation.
--- a/marigoldchute/moves/recorder.py
+++ b/marigoldchute/moves/recorder.py
@@ -80,8 +80,8 @@
         histogram = self.latencies.get(route)
         if histogram is not None and histogram.total >= MIN_LATENCIES:
             return ratio * histogram.percentile(SLOW_PERCENTILE)
-        shared_ms = self.collector_p95_ms.get(route)
-        return None if shared_ms is None else ratio * shared_ms
+        collector_p95_ms = self.collector_p95_ms.get(route)
+        return None if collector_p95_ms is None else ratio * collector_p95_ms
 
 
 class ServiceLoad:
@@ -116,7 +116,7 @@
         self._loads: dict[str, ServiceLoad] = {}
 
     def apply_bundle(self, bundle: Bundle) -> None:
-        """Create recorders for new moves of a bundle; keep those of existing moves."""
+        """Create recorders for moves that are new or whose routes changed."""
         existing = self._by_move
         self._by_move = {}
         for move in bundle.content.moves:
--- a/marigoldchute/moves/reporter.py
+++ b/marigoldchute/moves/reporter.py
@@ -1,4 +1,4 @@
-"""Exchanges reports, guidance and summaries between members and collectors."""
+"""Exchanges reports, collector responses and summaries between nodes."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 REPORTS_PER_LATENCY_REPORT = 8
 
 _REPORTS = msgspec.msgpack.Decoder(list[MemberReport])
-_GUIDANCE = msgspec.msgpack.Decoder(list[CollectorResponse])
+_RESPONSES = msgspec.msgpack.Decoder(list[CollectorResponse])
 _CONFIRMATION_DIGESTS = msgspec.msgpack.Decoder(list[ConfirmationDigest])
 _SUMMARIES = msgspec.msgpack.Decoder(list[MoveSummary])
 
@@ -111,6 +111,7 @@
                 await trio.sleep(self._rng.uniform(0.0, jitter_s))
 
     async def _report(self, include_counts: bool) -> bool:
+        """Send a report if it changed or is due; return False if sending failed."""
         local = self._membership.local
         target = self._membership.duties.holder(COLLECTOR, local.data_centre)
         if target is None:
@@ -133,7 +134,7 @@
         )
         self._collector.apply_report(report, self._clock.now_ms())
         if target == local.name:
-            self._engine.apply_guidance(self._collector.guidance())
+            self._engine.apply_collector_responses(self._collector.responses())
         elif not await self._send(target, report):
             return False
         self._last_state, self._last_report_at = state, now
@@ -148,7 +149,7 @@
         except (PeerError, AuthError):
             await trio.sleep(RETRY_DELAY_S)
             return False
-        self._engine.apply_guidance(_GUIDANCE.decode(response))
+        self._engine.apply_collector_responses(_RESPONSES.decode(response))
         return True
 
     @property
--- a/marigoldchute/moves/sequential.py
+++ b/marigoldchute/moves/sequential.py
@@ -22,12 +22,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
+# Alternatives: how far the new failure rate exceeds the tolerated one.
 EXCESSES = (0.03, 0.10, 0.30, 0.90)
 MIN_RATE = 0.002
 MAX_RATE = 0.995
+# The old release's rate starts from PRIOR_COUNT assumed observations that fail at
+# PRIOR_RATE.
 PRIOR_COUNT = 50.0
 PRIOR_RATE = 0.01
-PROJECTION_STEPS = 24
+BISECTION_STEPS = 24
 
 
 def project_onto_null(
@@ -55,7 +58,7 @@
     high = min(new_rate - tolerance, 1.0 - tolerance - MIN_RATE / 2)
     if high <= low:
         return low, min(low + tolerance, 1.0 - MIN_RATE / 2)
-    for _ in range(PROJECTION_STEPS):
+    for _ in range(BISECTION_STEPS):
         midpoint = (low + high) / 2
         slope = old_count * _divergence_slope(old_rate, midpoint)
         slope += new_count * _divergence_slope(new_rate, midpoint + tolerance)
--- a/marigoldchute/moves/state.py
+++ b/marigoldchute/moves/state.py
@@ -31,8 +31,8 @@
         confirmation.
     degraded : bool
         Whether the new release, running alone, fails more than the old one did.
-    guidance : CollectorResponse, optional
-        Latest guidance from the collector of the data centre.
+    collector_response : CollectorResponse, optional
+        Latest response of the data centre's collector about this move.
     schedule_only : bool
         Whether steps follow the schedule without waiting for outcomes.
     """
@@ -41,7 +41,7 @@
     outcomes: int = 0
     suspected: bool = False
     degraded: bool = False
-    guidance: CollectorResponse | None = None
+    collector_response: CollectorResponse | None = None
     schedule_only: bool = False
 
 
@@ -136,12 +136,12 @@
         return self._step_share(now_ms, inputs)
 
     def _share_from_peers(self, inputs: MoveInputs) -> float:
-        guidance = inputs.guidance
-        if guidance is None or guidance.returned or not guidance.confirmed:
+        response = inputs.collector_response
+        if response is None or response.returned or not response.confirmed:
             return 0.0
         return 1.0
 
-    def is_share_known(self, guidance: CollectorResponse | None) -> bool:
+    def is_share_known(self, response: CollectorResponse | None) -> bool:
         """Whether the share that the member must have is known.
 
         After the deadline, a late member without the verdict needs a peer that a driver
@@ -149,7 +149,7 @@
         """
         if self.stage is not Stage.UNDECIDED or self.fault is not None:
             return True
-        return guidance is not None and bool(guidance.returned or guidance.confirmed)
+        return response is not None and bool(response.returned or response.confirmed)
 
     def _update_step(
         self, now_ms: int, clock_error_ms: int, inputs: MoveInputs
@@ -160,8 +160,8 @@
             suspected=inputs.suspected,
         )
         step = due_step(self.move, progress, now_ms, clock_error_ms)
-        if self.joined_late and inputs.guidance is not None:
-            step = max(step, inputs.guidance.step)
+        if self.joined_late and inputs.collector_response is not None:
+            step = max(step, inputs.collector_response.step)
         if step != self.progress.step:
             self._outcomes_before_step = inputs.outcomes
             progress = Progress(step, now_ms)
--- a/tests/test_moves/test_evidence.py
+++ b/tests/test_moves/test_evidence.py
@@ -14,8 +14,8 @@
     Service,
     Step,
 )
+from marigoldchute.moves.local_detector import LocalFaultDetector
 from marigoldchute.moves.recorder import EvidenceRecorder
-from marigoldchute.moves.watch import LocalFaultDetector
 from marigoldchute.routing.outcomes import Outcome
 
 MOVE = Move("m", "turnos", "r1", "r2", 0, 60_000, (Step(1.0, 0),))
--- a/tests/test_moves/test_state.py
+++ b/tests/test_moves/test_state.py
@@ -10,7 +10,7 @@
 from marigoldchute.moves.schedule import MIN_OUTCOMES, Progress, due_step
 from marigoldchute.moves.state import MoveInputs, MoveState
 
-ERROR_MS = 100
+CLOCK_ERROR_MS = 100
 MOVE = Move(
     "m",
     "turnos",
@@ -27,7 +27,7 @@
 def advance(state: MoveState, until_ms: int, inputs: MoveInputs) -> list[float]:
     shares = []
     for now_ms in range(0, until_ms, 50):
-        state.advance(now_ms, ERROR_MS, inputs)
+        state.advance(now_ms, CLOCK_ERROR_MS, inputs)
         shares.append(state.share)
     return shares
 
@@ -35,13 +35,13 @@
 class DueStepTest(unittest.TestCase):
     def test_step_waits_for_outcomes_up_to_half_the_slack(self) -> None:
         few_outcomes = Progress(0, 0, MIN_OUTCOMES - 1)
-        self.assertEqual(due_step(MOVE, few_outcomes, 2000, ERROR_MS), 0)
-        self.assertEqual(due_step(MOVE, few_outcomes, 6000, ERROR_MS), 1)
+        self.assertEqual(due_step(MOVE, few_outcomes, 2000, CLOCK_ERROR_MS), 0)
+        self.assertEqual(due_step(MOVE, few_outcomes, 6000, CLOCK_ERROR_MS), 1)
 
     def test_suspected_release_delays_step_to_its_latest_start(self) -> None:
         suspected = Progress(0, 0, MANY_OUTCOMES, suspected=True)
-        self.assertEqual(due_step(MOVE, suspected, 6000, ERROR_MS), 0)
-        self.assertEqual(due_step(MOVE, suspected, 8300, ERROR_MS), 1)
+        self.assertEqual(due_step(MOVE, suspected, 6000, CLOCK_ERROR_MS), 0)
+        self.assertEqual(due_step(MOVE, suspected, 8300, CLOCK_ERROR_MS), 1)
 
 
 class MoveStateTest(unittest.TestCase):
@@ -61,9 +61,9 @@
         state = MoveState(MOVE)
         advance(state, 9450, MoveInputs(Capacity(12, 12, 24.0)))
         for now_ms in range(9450, 10_100, 50):
-            state.advance(now_ms, ERROR_MS, MoveInputs(outcomes=MANY_OUTCOMES))
+            state.advance(now_ms, CLOCK_ERROR_MS, MoveInputs(outcomes=MANY_OUTCOMES))
         self.assertEqual((state.share, state.confirmed), (1.0, False))
-        state.advance(10_150, ERROR_MS, MoveInputs())
+        state.advance(10_150, CLOCK_ERROR_MS, MoveInputs())
         self.assertEqual(state.share, 0.0)
 
     def test_share_is_limited_by_slots_of_new_release(self) -> None:
@@ -78,9 +78,9 @@
         for now_ms in range(3000, 9000, 50):
             if state.progress.step == 2:
                 break
-            state.advance(now_ms, ERROR_MS, MoveInputs(outcomes=now_ms * 100))
+            state.advance(now_ms, CLOCK_ERROR_MS, MoveInputs(outcomes=now_ms * 100))
         degraded = MoveInputs(outcomes=MANY_OUTCOMES, degraded=True)
-        state.advance(now_ms, ERROR_MS, degraded)
+        state.advance(now_ms, CLOCK_ERROR_MS, degraded)
         self.assertEqual(state.share, 0.5)
 
 
@@ -89,20 +89,24 @@
         cases = (((1, 0), 1.0), ((1, 1), 0.0), ((0, 1), 0.0))
         for (confirmed, returned), share in cases:
             state = MoveState(MOVE, joined_late=True)
-            guidance = CollectorResponse("m", confirmed=confirmed, returned=returned)
-            state.advance(11_000, ERROR_MS, MoveInputs(guidance=guidance))
+            response = CollectorResponse("m", confirmed=confirmed, returned=returned)
+            state.advance(
+                11_000, CLOCK_ERROR_MS, MoveInputs(collector_response=response)
+            )
             self.assertEqual(state.share, share)
-            self.assertTrue(state.is_share_known(guidance))
+            self.assertTrue(state.is_share_known(response))
 
     def test_late_member_without_peers_does_not_know_its_share(self) -> None:
         state = MoveState(MOVE, joined_late=True)
-        state.advance(11_000, ERROR_MS, MoveInputs())
+        state.advance(11_000, CLOCK_ERROR_MS, MoveInputs())
         self.assertIs(state.stage, Stage.UNDECIDED)
         self.assertFalse(state.is_share_known(None))
 
     def test_late_member_starts_at_step_in_force(self) -> None:
         state = MoveState(MOVE, joined_late=True)
         state.advance(
-            3000, ERROR_MS, MoveInputs(guidance=CollectorResponse("m", step=1))
+            3000,
+            CLOCK_ERROR_MS,
+            MoveInputs(collector_response=CollectorResponse("m", step=1)),
         )
         self.assertEqual(state.share, 0.5)
--- a/tests/test_moves/test_verdict_protocol.py
+++ b/tests/test_moves/test_verdict_protocol.py
@@ -75,12 +75,14 @@
         self.alive = True
         self.paused = False
         self.state = MoveState(MOVE, joined_late)
-        self.guidance: CollectorResponse | None = None
+        self.collector_response: CollectorResponse | None = None
         self.sequence = 0
 
     def tick(self, true_ms: int) -> None:
         if self.alive and not self.paused:
-            inputs = MoveInputs(outcomes=10**6, guidance=self.guidance)
+            inputs = MoveInputs(
+                outcomes=10**6, collector_response=self.collector_response
+            )
             self.state.advance(true_ms + self.offset_ms, CLOCK_ERROR_MS, inputs)
 
     def report(self) -> MemberReport:
@@ -209,17 +211,17 @@
         self.messages.append(on_arrival)
 
     @rule(name=names)
-    def send_guidance(self, name: str) -> None:
+    def send_response(self, name: str) -> None:
         node, data_centre = self.nodes[name], DATA_CENTRE_OF[name]
         stages = [
             move.stage for r in self.reports[data_centre].values() for move in r.moves
         ]
-        guidance = CollectorResponse(
+        response = CollectorResponse(
             "m",
             confirmed=sum(stage == Stage.CONFIRMED for stage in stages),
             returned=sum(stage == Stage.RETURNED for stage in stages),
         )
-        self.messages.append(lambda: setattr(node, "guidance", guidance))
+        self.messages.append(lambda: setattr(node, "collector_response", response))
 
     @rule(data_centre=data_centres, driver=drivers)
     def send_digest(self, data_centre: str, driver: str) -> None:
@@ -245,8 +247,8 @@
             self.messages.pop()()
 
     @rule(name=names)
-    def apply_guidance(self, name: str) -> None:
-        self.send_guidance(name)
+    def apply_response(self, name: str) -> None:
+        self.send_response(name)
         self.messages.pop()()
 
     @rule(driver=drivers)
@@ -366,7 +368,7 @@
             if (
                 after_deadline
                 and state.fault is None
-                and state.is_share_known(node.guidance)
+                and state.is_share_known(node.collector_response)
             ):
                 assert state.share == 1.0, node.name
 
@@ -447,17 +449,17 @@
         protocol = VerdictProtocol()
         protocol.begin((0,) * 5, 1700, True, frozenset())
         for event in order:
-            self._do(protocol, event)
-            self._check(protocol, order)
+            self._apply_event(protocol, event)
+            self._check_invariants(protocol, order)
         for name in protocol.nodes:
             protocol.send_report(name)
             protocol.messages.pop()()
-            protocol.apply_guidance(name)
+            protocol.apply_response(name)
         protocol.pass_time(700)
-        self._check(protocol, order)
+        self._check_invariants(protocol, order)
         return None if protocol.stored is None else protocol.stored.kind
 
-    def _do(self, protocol: VerdictProtocol, event: str) -> None:
+    def _apply_event(self, protocol: VerdictProtocol, event: str) -> None:
         if event == "kill":
             protocol.kill("a1")
         elif event == "restart":
@@ -477,7 +479,9 @@
         elif event == "deadline":
             protocol.pass_time(700)
 
-    def _check(self, protocol: VerdictProtocol, order: tuple[str, ...]) -> None:
+    def _check_invariants(
+        self, protocol: VerdictProtocol, order: tuple[str, ...]
+    ) -> None:
         with self.subTest(order=order):
             protocol.done_implies_full_share_on_every_member()
             protocol.unconfirmed_member_has_share_zero_after_deadline()
--- a/tests/test_moves/test_verdicts.py
+++ b/tests/test_moves/test_verdicts.py
@@ -17,9 +17,9 @@
 if TYPE_CHECKING:
     from marigoldchute.admin.messages import MoveStatus, Status
 
-NORTE, SUR = "cartago-norte-1", "cartago-norte-2"
-MUELLE, PATIO = "limon-muelle-1", "limon-muelle-2"
-RELEASES = {NORTE: "r1", SUR: "r2", MUELLE: "r1", PATIO: "r2"}
+NORTE_1, NORTE_2 = "cartago-norte-1", "cartago-norte-2"
+MUELLE_1, MUELLE_2 = "limon-muelle-1", "limon-muelle-2"
+RELEASES = {NORTE_1: "r1", NORTE_2: "r2", MUELLE_1: "r1", MUELLE_2: "r2"}
 
 
 def bundle(
@@ -65,7 +65,7 @@
             )
         text = bundle(complete_within_ms, watch_ms, first_hold_ms)
         path = self.write_bundle(text)
-        status, out, err = await self.roll(path, NORTE)
+        status, out, err = await self.roll(path, NORTE_1)
         self.assertEqual(status, 0, out + err)
         for vm in self.mesh.plan.vms:
             await self.mesh.wait_until(vm.name, lambda s: s.version == 1)
@@ -95,10 +95,10 @@
     async def _store_down(self) -> None:
         await self.start_move(12_000)
         await self.mesh.set_store_faults(StoreFaults(down=True))
-        await self.wait_for_full_share(MUELLE)
+        await self.wait_for_full_share(MUELLE_1)
         await trio.sleep(5)
         with self.assertRaises(MarigoldchuteError) as caught:
-            await self.mesh.admin(MUELLE).verdict("turnos-r2")
+            await self.mesh.admin(MUELLE_1).verdict("turnos-r2")
         self.assertEqual(caught.exception.code.name, "MOVE_VERDICT_UNKNOWN")
         await self.mesh.set_store_faults(StoreFaults())
         for vm in self.mesh.plan.vms:
@@ -111,7 +111,7 @@
     async def _lost_response(self) -> None:
         await self.start_move(12_000)
         await self.mesh.set_store_faults(StoreFaults(lose_replies=1))
-        self.assertEqual((await self.wait_for_verdict(MUELLE, "done")).unconfirmed, 0)
+        self.assertEqual((await self.wait_for_verdict(MUELLE_1, "done")).unconfirmed, 0)
 
 
 class PartitionTest(MoveMeshTestCase):
@@ -124,13 +124,13 @@
             Rule("limon-muelle", "cartago", Action.DROP),
             Rule("limon-muelle", "store", Action.DROP),
         )
-        in_progress = await self.wait_for_verdict(NORTE, "taking back")
+        in_progress = await self.wait_for_verdict(NORTE_1, "taking back")
         self.assertGreater(in_progress.unconfirmed, 0)
         await trio.sleep(1)
-        later = await self.wait_for_verdict(NORTE, "taking back", "taken back")
+        later = await self.wait_for_verdict(NORTE_1, "taking back", "taken back")
         self.assertEqual(later.verdict, "taking back")
         await self.mesh.set_proxy_rules()
-        final = await self.wait_for_verdict(NORTE, "taken back")
+        final = await self.wait_for_verdict(NORTE_1, "taken back")
         self.assertEqual((final.unconfirmed, final.highest_share), (0, 0.0))
 
 
@@ -142,7 +142,7 @@
 
     async def _cancel(self) -> None:
         await self.start_move(9000)
-        verdict = await self.mesh.admin(MUELLE).cancel("turnos-r2", "ana")
+        verdict = await self.mesh.admin(MUELLE_1).cancel("turnos-r2", "ana")
         self.assertEqual(verdict.reason, "cancelled by ana")
         for vm in self.mesh.plan.vms:
             final = await self.wait_for_verdict(vm.name, "taken back")
@@ -159,15 +159,15 @@
         await self.start_move(9000, watch_ms=1500, first_hold_ms=3000)
         # A member with a share above 0 must first report that it is back at 0.
         await self.mesh.wait_until(
-            PATIO, lambda s: bool(s.moves) and s.moves[0].lowest_share > 0
+            MUELLE_2, lambda s: bool(s.moves) and s.moves[0].lowest_share > 0
         )
-        self.mesh.process(PATIO).send_signal(19)  # SIGSTOP: paused, not gone
+        self.mesh.process(MUELLE_2).send_signal(19)  # SIGSTOP: paused, not gone
         try:
-            in_progress = await self.wait_for_verdict(NORTE, "taking back")
+            in_progress = await self.wait_for_verdict(NORTE_1, "taking back")
             self.assertGreater(in_progress.unconfirmed, 0)
         finally:
-            self.mesh.process(PATIO).send_signal(18)
-        final = await self.wait_for_verdict(NORTE, "taken back")
+            self.mesh.process(MUELLE_2).send_signal(18)
+        final = await self.wait_for_verdict(NORTE_1, "taken back")
         self.assertIn("unconfirmed at the deadline", final.reason)
 
     def test_node_that_joins_after_verdict_receives_it(self) -> None:
@@ -175,12 +175,12 @@
 
     async def _join(self) -> None:
         await self.start_move(12_000)
-        await self.wait_for_verdict(NORTE, "done")
-        self.mesh.kill(PATIO)
-        self.mesh.start_node(PATIO)
+        await self.wait_for_verdict(NORTE_1, "done")
+        self.mesh.kill(MUELLE_2)
+        self.mesh.start_node(MUELLE_2)
         await trio.sleep(0.5)
-        await self.wait_for_verdict(PATIO, "done")
-        await self.wait_for_full_share(PATIO)
+        await self.wait_for_verdict(MUELLE_2, "done")
+        await self.wait_for_full_share(MUELLE_2)
 
 
 class FaultTest(MoveMeshTestCase):
@@ -191,12 +191,12 @@
 
     async def _faulty(self) -> None:
         await self.start_move(20_000)
-        for name in (SUR, PATIO):
+        for name in (NORTE_2, MUELLE_2):
             await self.mesh.set_backend_faults(name, BackendFaults(error_share=1.0))
         origins = [f"{vm.address}:8000" for vm in self.mesh.plan.vms]
         callers = Callers(origins, ["/turnos/1"], 60.0, self.seed)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(callers.run)
-            final = await self.wait_for_verdict(NORTE, "taken back", limit_s=30)
+            final = await self.wait_for_verdict(NORTE_1, "taken back", limit_s=30)
             nursery.cancel_scope.cancel()
         self.assertIn("more errors of r2 than of r1", final.reason)
