--- a/marigoldchute/events.py
+++ b/marigoldchute/events.py
@@ -94,8 +94,8 @@
         self.process = process
         self.clock = clock if clock is not None else HybridClock()
         self._logger = eliot.Logger()
-        self.line_out = None if out is not None else LineWriter(sys.stdout.fileno())
-        eliot.to_file(out if out is not None else self.line_out)  # type: ignore[arg-type]
+        self.line_writer = None if out is not None else LineWriter(sys.stdout.fileno())
+        eliot.to_file(out if out is not None else self.line_writer)  # type: ignore[arg-type]
 
     def emit(self, part: str, event: str, text: str, **fields: object) -> None:
         """Log one event.
--- a/marigoldchute/hosted/node.py
+++ b/marigoldchute/hosted/node.py
@@ -328,7 +328,7 @@
         budget = self.entry.retry_budget
         states = self._order_book.states()
         uptime_s = trio.current_time() - self._started_at
-        line_out = self._log.line_out
+        writer = self._log.line_writer
         return NodeSnapshot(
             self._catalog.version,
             self._catalog.version,
@@ -342,7 +342,7 @@
                     "requests": budget.requests,
                     "retries": budget.retries,
                     "refused_retries": budget.refused_retries,
-                    "log_lines_dropped": line_out.dropped_count if line_out else 0,
+                    "log_lines_dropped": writer.dropped_count if writer else 0,
                 },
             ),
         )
--- a/marigoldchute/moves/collector.py
+++ b/marigoldchute/moves/collector.py
@@ -8,8 +8,8 @@
 
 from marigoldchute.link.methods import Method
 from marigoldchute.moves.data_centre_evidence import DataCentreEvidence, streams_of
+from marigoldchute.moves.decision import confirmation_digest
 from marigoldchute.moves.evidence import log_e_value, merge_streams, worst_stream
-from marigoldchute.moves.judge import confirmation_digest
 from marigoldchute.moves.local_detector import (
     SUSPECTED_THRESHOLD_FRACTION,
     describe_fault,
--- a/marigoldchute/moves/driver.py
+++ b/marigoldchute/moves/driver.py
@@ -9,7 +9,7 @@
 import trio
 
 from marigoldchute.errors import PlatformError, ResultCode
-from marigoldchute.moves.judge import Decision, decide_verdict
+from marigoldchute.moves.decision import Decision, decide_verdict
 from marigoldchute.moves.model import Verdict
 from marigoldchute.objectstore.conditional import create_once
 from marigoldchute.overlay.duties import DRIVER
--- a/marigoldchute/routing/metrics.py
+++ b/marigoldchute/routing/metrics.py
@@ -6,8 +6,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-LOWEST_US = 1
-HIGHEST_US = 60_000_000
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 2
 MAX_HISTOGRAMS = 48  # 20 KB each; a bundle may contain hundreds of rarely used routes.
 OTHER_ROUTES = "other"
@@ -54,9 +54,9 @@
             key = (OTHER_ROUTES, outcome)
             histogram = self._histograms.get(key)
         if histogram is None:
-            histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+            histogram = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
             self._histograms[key] = histogram
-        histogram.record_value(min(max(added_us, LOWEST_US), HIGHEST_US))
+        histogram.record_value(min(max(added_us, MIN_LATENCY_US), MAX_LATENCY_US))
 
     def snapshot(self) -> tuple[RouteLatency, ...]:
         """Return the percentiles of every route and outcome."""
--- a/marigoldchute/routing/release_choice.py
+++ b/marigoldchute/routing/release_choice.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from marigoldchute.routing.route_mix import RouteMix
-from marigoldchute.routing.spread import LowDiscrepancySequence
 from marigoldchute.routing.sticky import sticky_point
+from marigoldchute.routing.weighted_choice import LowDiscrepancySequence
 
 if TYPE_CHECKING:
     import random
--- a/marigoldchute/routing/route_table.py
+++ b/marigoldchute/routing/route_table.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from marigoldchute.bundle.model import Route, Service
-from marigoldchute.routing.spread import WeightedChoice
+from marigoldchute.routing.weighted_choice import WeightedChoice
 
 if TYPE_CHECKING:
     from marigoldchute.bundle.model import Bundle
--- a/tests/test_moves/test_verdict_protocol.py
+++ b/tests/test_moves/test_verdict_protocol.py
@@ -24,7 +24,7 @@
 
 from marigoldchute.bundle.model import Move, Step
 from marigoldchute.membership.model import Member
-from marigoldchute.moves.judge import confirmation_digest, decide_verdict
+from marigoldchute.moves.decision import confirmation_digest, decide_verdict
 from marigoldchute.moves.model import (
     CollectorResponse,
     Fault,
