--- a/tests/test_orders/test_outcomes.py
+++ b/tests/test_orders/test_outcomes.py
@@ -250,7 +250,7 @@
                 self.assertLess(mesh.now_ms / 1000, ORDER.duration_s)
 
 
-class ShortTimeTest(ScheduleTestCase):
+class ShortTimeoutTest(ScheduleTestCase):
     """A rare route whose timeout is shorter than its requests typically take."""
 
     def test_good_release_is_not_reported(self) -> None:
@@ -261,7 +261,7 @@
                 self.assertEqual(self.run_schedule(mesh, responds_as_before), "")
 
 
-class UnderLoadTest(ScheduleTestCase):
+class FaultUnderLoadTest(ScheduleTestCase):
     """A release that fails once it gets all requests, as under load."""
 
     def test_exposure_stays_within_the_limit(self) -> None:
@@ -274,7 +274,7 @@
                 self.assertLess(mesh.new_release_requests, self.allowed_requests)
 
 
-class SlowTest(ScheduleTestCase):
+class SlowReleaseTest(ScheduleTestCase):
     """A release that takes eight times as long, from its cold start on."""
 
     routes = ("query",) * 19 + ("book",)
