--- a/bench/bench_evidence.py
+++ b/bench/bench_evidence.py
@@ -15,8 +15,8 @@
 
 from marigoldchute.bundle.model import Thresholds
 from marigoldchute.moves.evidence import (
-    CellKey,
     Counts,
+    CountsKey,
     MoveEvidence,
     log_e_value,
     merge_streams,
@@ -112,14 +112,14 @@
     is_second_half = window >= WINDOWS_PER_STEP * len(SHARES) // 2
     for route in (0, 1):
         for level in LOAD_LEVELS:
-            cell_requests_per_s = case.requests_per_s / 4
+            level_requests_per_s = case.requests_per_s / 4
             bad = (
                 route in case.bad_routes
                 and level in case.bad_levels
                 and window >= case.first_bad_window
             )
             for new in (False, True):
-                release_requests_per_s = cell_requests_per_s * (
+                release_requests_per_s = level_requests_per_s * (
                     share if new else 1.0 - share
                 )
                 request_count = int(rng.poisson(release_requests_per_s))
@@ -135,7 +135,7 @@
                 slow_count = int(rng.binomial(timed_count, min(slow_probability, 1.0)))
                 counts = Counts(request_count, error_count, timed_count, slow_count)
                 if request_count:
-                    evidence.add(CellKey(route, new, level), counts, now_ms)
+                    evidence.add(CountsKey(route, new, level), counts, now_ms)
 
 
 def main() -> None:
--- a/bench/bench_move_bytes.py
+++ b/bench/bench_move_bytes.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from marigoldchute.moves.model import (
-    CellReport,
     CollectorResponse,
     ConfirmationDigest,
+    CountsReport,
     MemberReport,
     MoveReport,
     MoveSummary,
@@ -39,8 +39,8 @@
 
 def main() -> None:
     """Print and write the message sizes and the bytes per second of each role."""
-    cells = tuple(
-        CellReport(route, new, level, (40_000, 400, 40_000, 900))
+    counts_reports = tuple(
+        CountsReport(route, new, level, (40_000, 400, 40_000, 900))
         for route in range(ROUTE_COUNT)
         for new in (False, True)
         for level in range(LOAD_LEVEL_COUNT)
@@ -52,7 +52,9 @@
     now_ms = 1_796_381_405_658
 
     def report(histograms: dict[int, dict[int, int]]) -> MemberReport:
-        move = MoveReport("turnos-r2", 0.5, False, 0, 2, 12.34, cells, histograms)
+        move = MoveReport(
+            "turnos-r2", 0.5, False, 0, 2, 12.34, counts_reports, histograms
+        )
         return MemberReport("cartago-norte-123", now_ms, 5000, 620, (move,))
 
     mean_report_bytes = (
--- a/marigoldchute/moves/data_centre_evidence.py
+++ b/marigoldchute/moves/data_centre_evidence.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from marigoldchute.moves.evidence import (
-    CellKey,
     Counts,
+    CountsKey,
     MoveEvidence,
     StreamKey,
 )
@@ -27,7 +27,7 @@
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
-        self.cells: dict[CellKey, Counts] = {}
+        self.counts_by_key: dict[CountsKey, Counts] = {}
         self.latencies: dict[int, dict[int, int]] = {}
         self.concurrency = 0.0
 
@@ -61,15 +61,15 @@
             self._members[name] = existing
         existing.concurrency = report.concurrency
         existing.latencies |= report.latencies
-        for cell in report.cells:
-            key = CellKey(cell.route, cell.new, cell.level)
-            counts = Counts(*cell.counts)
-            delta = counts.minus(existing.cells.get(key, Counts()))
-            existing.cells[key] = counts
+        for counts_report in report.counts_reports:
+            key = CountsKey(counts_report.route, counts_report.new, counts_report.level)
+            counts = Counts(*counts_report.counts)
+            delta = counts.minus(existing.counts_by_key.get(key, Counts()))
+            existing.counts_by_key[key] = counts
             if first:
                 continue
             self._evidence.add(key, delta, now_ms)
-            if cell.new:
+            if counts_report.new:
                 self._outcomes += delta.outcomes
 
     def retain_members(self, names: Iterable[str]) -> None:
--- a/marigoldchute/moves/engine.py
+++ b/marigoldchute/moves/engine.py
@@ -10,8 +10,8 @@
 from marigoldchute.moves.capacity import Capacity, compute_capacity
 from marigoldchute.moves.local_detector import LocalFaultDetector
 from marigoldchute.moves.model import (
-    CellReport,
     CollectorResponse,
+    CountsReport,
     Fault,
     MoveReport,
     Split,
@@ -147,8 +147,8 @@
         recorder = self.recorder.move_recorder(move_id)
         if recorder is None or state.verdict is not None:
             return MoveReport(move_id, state.share, state.confirmed, state.stage)
-        cells = tuple(
-            CellReport(*key, counts) for key, counts in recorder.cells.items()
+        counts_reports = tuple(
+            CountsReport(*key, counts) for key, counts in recorder.counts_by_key.items()
         )
         latencies = {
             route: dict(histogram.counts)
@@ -162,7 +162,7 @@
             state.stage,
             state.progress.step,
             round(self.recorder.concurrency_of(state.move.service), 2),
-            cells,
+            counts_reports,
             latencies,
             state.joined_late,
         )
--- a/marigoldchute/moves/evidence.py
+++ b/marigoldchute/moves/evidence.py
@@ -30,8 +30,8 @@
     SLOW = 1
 
 
-class CellKey(NamedTuple):
-    """Route, release and load level of a group of outcomes.
+class CountsKey(NamedTuple):
+    """Key of outcome counts, which are kept by route, release and load level.
 
     Parameters
     ----------
@@ -49,7 +49,7 @@
 
 
 class Counts(NamedTuple):
-    """Outcome counts of one cell.
+    """Outcome counts of one route, release and load level.
 
     Parameters
     ----------
@@ -118,8 +118,8 @@
         self._tests: dict[StreamKey, SequentialTest] = {}
         self._history: dict[tuple[int, Metric], HistoryTest] = {}
 
-    def add(self, key: CellKey, counts: Counts, now_ms: int) -> None:
-        """Add the counts of one cell since the previous call."""
+    def add(self, key: CountsKey, counts: Counts, now_ms: int) -> None:
+        """Add the counts of one key since the previous call."""
         window = self._windows.get((key.route, key.level))
         if window is None:
             window = _Window(now_ms)
--- a/marigoldchute/moves/local_detector.py
+++ b/marigoldchute/moves/local_detector.py
@@ -13,7 +13,7 @@
 from marigoldchute.moves.sequential import log_threshold
 
 if TYPE_CHECKING:
-    from marigoldchute.moves.evidence import CellKey, StreamKey
+    from marigoldchute.moves.evidence import CountsKey, StreamKey
     from marigoldchute.moves.recorder import MoveRecorder
 
 TEST_INTERVAL_MS = 250
@@ -32,7 +32,7 @@
     def __init__(self, recorder: MoveRecorder) -> None:
         self.recorder = recorder
         self._evidence = MoveEvidence(recorder.move.thresholds)
-        self._tested: dict[CellKey, Counts] = {}
+        self._tested: dict[CountsKey, Counts] = {}
         self._last_test_ms = 0
         self.outcomes = 0
         self.suspected = False
@@ -53,7 +53,7 @@
         if now_ms - self._last_test_ms < TEST_INTERVAL_MS:
             return None
         self._last_test_ms = now_ms
-        for key, counts in self.recorder.cells.items():
+        for key, counts in self.recorder.counts_by_key.items():
             delta = counts.minus(self._tested.get(key, Counts()))
             if any(delta):
                 self._tested[key] = counts
--- a/marigoldchute/moves/model.py
+++ b/marigoldchute/moves/model.py
@@ -76,8 +76,8 @@
     DECIDED = 4
 
 
-class CellReport(msgspec.Struct, frozen=True, array_like=True):
-    """Cumulative counts of one evidence cell on one member."""
+class CountsReport(msgspec.Struct, frozen=True, array_like=True):
+    """Cumulative counts of one member for one route, release and load level."""
 
     route: int
     new: bool
@@ -103,7 +103,7 @@
         Index of the step in force, -1 before the start.
     concurrency : float
         Mean number of concurrent requests of the member to the move's service.
-    cells : tuple of CellReport
+    counts_reports : tuple of CountsReport
         Counts of the member, cumulative within its incarnation.
     latencies : dict of int to dict of int to int
         Latency histogram of the old release by route. Large histograms are only in
@@ -118,7 +118,7 @@
     stage: int = Stage.ROLLING
     step: int = -1
     concurrency: float = 0.0
-    cells: tuple[CellReport, ...] = ()
+    counts_reports: tuple[CountsReport, ...] = ()
     latencies: dict[int, dict[int, int]] = {}
     joined_late: bool = False
 
--- a/marigoldchute/moves/recorder.py
+++ b/marigoldchute/moves/recorder.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from marigoldchute.moves.evidence import CellKey, Counts
+from marigoldchute.moves.evidence import Counts, CountsKey
 from marigoldchute.moves.histogram import LatencyHistogram
 from marigoldchute.routing.outcomes import Outcome
 
@@ -33,7 +33,7 @@
     def __init__(self, move: Move, routes: tuple[str, ...]) -> None:
         self.move = move
         self.routes = routes
-        self.cells: dict[CellKey, Counts] = {}
+        self.counts_by_key: dict[CountsKey, Counts] = {}
         self.latencies: dict[int, LatencyHistogram] = {}
         self.collector_p95_ms: dict[int, float] = {}
 
@@ -54,8 +54,8 @@
         index = self.routes.index(route)
         counts = self._classify(index, outcome, latency_ms)
         if counts is not None:
-            key = CellKey(index, new, load_level)
-            self.cells[key] = self.cells.get(key, Counts()).plus(counts)
+            key = CountsKey(index, new, load_level)
+            self.counts_by_key[key] = self.counts_by_key.get(key, Counts()).plus(counts)
         if outcome is Outcome.OK and not new:
             self.latencies.setdefault(index, LatencyHistogram()).add(latency_ms)
 
--- a/marigoldchute/moves/reporter.py
+++ b/marigoldchute/moves/reporter.py
@@ -237,7 +237,7 @@
 
 
 def _without_counts(move: MoveReport) -> MoveReport:
-    return msgspec.structs.replace(move, cells=(), latencies={})
+    return msgspec.structs.replace(move, counts_reports=(), latencies={})
 
 
 def _report_order(report: MemberReport) -> tuple[int, int]:
